--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -33,32 +33,32 @@
 	TimeOut     time.Duration
 
 	Begun      time.Time // set by Send
-	due        time.Time // its time-out is over
-	place      int       // among those out
+	deadline        time.Time // its time-out is over
+	heapIndex      int       // among those out
 	connection *connection
 	written    bool // all of it was handed to the connection
 }
 
 // connection is one connection to a receiver.
 type connection struct {
-	conn       *sockets.Conn
+	socket       *sockets.Conn
 	number     uint64 // of those that the pool made
 	parser     *http1.Parser
 	receiver   rules.ReceiverID
-	up         bool
-	carried    int            // calls that were written
-	last       rules.NoticeID // of the last of them
+	established         bool
+	callsWritten    int            // calls that were written
+	lastNotice       rules.NoticeID // of the last of them
 	call       *Call          // nil: idle, or reading what is left of an answer
-	rest       bool           // the answer's head was enough, its body is still to come
-	gone       bool           // its receiver is listed no more
-	givenUp    bool           // its call was given up: nothing more is sent, and only a wait is still heard
-	heardBytes int            // of what came when it was not used any more
-	surplus    bool           // the same, after something came that no call had asked for
+	readingBody       bool           // the answer's head was enough, its body is still to come
+	delisted       bool           // its receiver is listed no more
+	receiveOnly    bool           // its call was given up: nothing more is sent, and only a wait is still heard
+	lateBytes int            // of what came when it was not used any more
+	unsolicited    bool           // the same, after something came that no call had asked for
 	retired    bool           // it is not used again, and closed when it has settled
 	statuses   []int          // of all answers that were heard since the call was written, where they may be other calls'
-	since      time.Time
-	wrote      time.Time // when the last call was written
-	heard      time.Time // when the last bytes were heard
+	stateSince      time.Time
+	writtenAt      time.Time // when the last call was written
+	lastRead      time.Time // when the last bytes were heard
 	// settledAt is when it may carry a further call: it must have been quiet for a while since its last answer.
 	settledAt time.Time
 	exchanges []exchange // answered on it, of which the answers may have been other calls'
@@ -71,27 +71,27 @@
 	net     *sockets.Net
 	limits  limits.Limits
 	buffers *buffers.Pool
-	report  []string
+	loadReportNames  []string
 	hooks   Hooks
 	log     *slog.Logger
 	tracing bool // each connection's way is logged
 
-	out           map[rules.NoticeID]*Call
+	outstanding           map[rules.NoticeID]*Call
 	byDestination map[rules.DestinationID][]*Call // those out, by destination
 	deadlines     byDeadline                      // those out, the first to time out in front
 	connections   map[*sockets.Conn]*connection
-	made          uint64                             // connections
+	opened          uint64                             // connections
 	idle          map[rules.ReceiverID][]*connection // the one used last at the end
-	waiting       []*connection                      // those that settle, with calls that wait for that
-	comesUp       map[rules.ReceiverID]time.Duration // how long the last connection to a receiver took to come up
+	settling       []*connection                      // those that settle, with calls that wait for that
+	connectTimes       map[rules.ReceiverID]time.Duration // how long the last connection to a receiver took to come up
 	ended         []rules.TripEnded
-	up            []rules.ConnectionUp
-	waits         []rules.WaitTold
+	established            []rules.ConnectionUp
+	requestedWaits         []rules.WaitTold
 	confirmed     []Confirmation
-	doubts        []Doubt
-	surplus       []rules.ReceiverID
+	retractions        []Doubt
+	unsolicited       []rules.ReceiverID
 	now           time.Time
-	bytes         []byte
+	requestBuffer         []byte
 	// lagged says that the process may have stood still since connections were last heard: answers may wait unread.
 	lagged bool
 
@@ -113,11 +113,11 @@
 }
 
 // New makes a pool. report names the values of a load report in the decisions' order.
-func New(l limits.Limits, pool *buffers.Pool, report []string, log *slog.Logger, hooks Hooks) *Pool {
-	return &Pool{limits: l, buffers: pool, report: report, hooks: hooks, log: log,
-		tracing: log.Enabled(context.Background(), slog.LevelDebug), out: map[rules.NoticeID]*Call{},
+func New(resources limits.Limits, pool *buffers.Pool, report []string, log *slog.Logger, hooks Hooks) *Pool {
+	return &Pool{limits: resources, buffers: pool, loadReportNames: report, hooks: hooks, log: log,
+		tracing: log.Enabled(context.Background(), slog.LevelDebug), outstanding: map[rules.NoticeID]*Call{},
 		byDestination: map[rules.DestinationID][]*Call{}, connections: map[*sockets.Conn]*connection{}, idle: map[rules.ReceiverID][]*connection{},
-		comesUp: map[rules.ReceiverID]time.Duration{}}
+		connectTimes: map[rules.ReceiverID]time.Duration{}}
 }
 
 // Use says on which sockets calls go.
@@ -133,10 +133,10 @@
 func (p *Pool) At(now time.Time) { p.now = now }
 
 // Made is the number of connections that were begun.
-func (p *Pool) Made() int { return int(p.made) }
+func (p *Pool) Made() int { return int(p.opened) }
 
 // Out is the number of calls without an outcome.
-func (p *Pool) Out() int { return len(p.out) }
+func (p *Pool) Out() int { return len(p.outstanding) }
 
 // Ended hands over the outcomes since the last time.
 func (p *Pool) Ended() []rules.TripEnded {
@@ -146,184 +146,184 @@
 }
 
 // Send begins a call: on an idle connection that has settled, or one that will soon, or a new one.
-func (p *Pool) Send(c *Call) {
-	c.Begun, c.due = p.now, p.now.Add(c.TimeOut)
-	p.out[c.Notice] = c
-	heap.Push(&p.deadlines, c)
-	p.byDestination[c.Destination] = append(p.byDestination[c.Destination], c)
-	if p.unheard(c) {
-		p.end(c, rules.Recalled)
+func (p *Pool) Send(call *Call) {
+	call.Begun, call.deadline = p.now, p.now.Add(call.TimeOut)
+	p.outstanding[call.Notice] = call
+	heap.Push(&p.deadlines, call)
+	p.byDestination[call.Destination] = append(p.byDestination[call.Destination], call)
+	if p.hasUnreadResponse(call) {
+		p.finishWithResult(call, rules.Recalled)
 		return
 	}
-	if l := p.usable(c.Receiver); l != nil {
-		l.call, c.connection = c, l
-		p.write(l)
+	if conn := p.takeSettledIdle(call.Receiver); conn != nil {
+		conn.call, call.connection = call, conn
+		p.write(conn)
 		return
 	}
-	if l := p.nextSettled(c.Receiver); l != nil {
-		p.waitToSettle(l, c)
+	if conn := p.nextToSettle(call.Receiver); conn != nil {
+		p.waitToSettle(conn, call)
 		return
 	}
-	p.connect(c)
+	p.connect(call)
 }
 
 // connect begins a new connection for a call.
-func (p *Pool) connect(c *Call) {
+func (p *Pool) connect(call *Call) {
 	if len(p.connections) >= p.limits.Receivers && !p.closeOldest() {
-		p.end(c, rules.Short)
+		p.finishWithResult(call, rules.Short)
 		return
 	}
-	p.made++
-	l := &connection{number: p.made, receiver: c.Receiver, call: c, since: p.now,
+	p.opened++
+	conn := &connection{number: p.opened, receiver: call.Receiver, call: call, stateSince: p.now,
 		parser: http1.NewParser(p.buffers, true, p.limits.Head, p.limits.Fields, p.limits.Body)}
-	c.connection = l
+	call.connection = conn
 	if p.tracing {
-		p.log.Debug(logs.Connecting, "connection", l.number, "notice", c.Notice, "receiver", c.Receiver, "address", c.Address)
+		p.log.Debug(logs.Connecting, "connection", conn.number, "notice", call.Notice, "receiver", call.Receiver, "address", call.Address)
 	}
-	l.conn = p.net.Dial(c.Address, p.limits.ConnectTime, p.limits.Head+p.limits.Body, p)
-	p.connections[l.conn] = l
+	conn.socket = p.net.Dial(call.Address, p.limits.ConnectTime, p.limits.Head+p.limits.Body, p)
+	p.connections[conn.socket] = conn
 }
 
 // Up hands over the calls whose connections have come up since the last time: each waits for Write or Recall.
 func (p *Pool) Up() []rules.ConnectionUp {
-	up := p.up
-	p.up = nil
-	return up
+	established := p.established
+	p.established = nil
+	return established
 }
 
 // Waits hands over the waits that were told since the last time by answers whose end has not come.
 func (p *Pool) Waits() []rules.WaitTold {
-	waits := p.waits
-	p.waits = nil
+	waits := p.requestedWaits
+	p.requestedWaits = nil
 	return waits
 }
 
 // Write lets a call leave whose connection has come up.
 func (p *Pool) Write(notice rules.NoticeID) {
-	c := p.out[notice]
-	if c == nil || c.written || !c.connection.up {
+	call := p.outstanding[notice]
+	if call == nil || call.written || !call.connection.established {
 		return
 	}
-	if p.unheard(c) {
+	if p.hasUnreadResponse(call) {
 		p.Recall(notice)
 		return
 	}
-	l := c.connection
+	conn := call.connection
 	switch {
-	case l.conn.Quiet():
-		p.write(l)
-	case l.carried > 0:
-		l.call = nil
-		p.retire(l)
-		p.connect(c)
+	case conn.socket.Quiet():
+		p.write(conn)
+	case conn.callsWritten > 0:
+		conn.call = nil
+		p.retire(conn)
+		p.connect(call)
 	default:
-		p.drop(l, "ended or said something before its first call")
-		p.end(c, rules.NotConnected)
+		p.drop(conn, "ended or said something before its first call")
+		p.finishWithResult(call, rules.NotConnected)
 	}
 }
 
 // unheard tells whether another call to the same destination has an answer that was not read yet, which may tell to wait.
 // It looks only where the process may have stood still; else what came was heard at the beginning of the turn.
-func (p *Pool) unheard(c *Call) bool {
+func (p *Pool) hasUnreadResponse(call *Call) bool {
 	if !p.lagged && time.Since(p.now) <= p.limits.Lag {
 		return false
 	}
-	return slices.ContainsFunc(p.byDestination[c.Destination], func(other *Call) bool {
-		return other != c && other.written && !other.connection.conn.Quiet()
+	return slices.ContainsFunc(p.byDestination[call.Destination], func(other *Call) bool {
+		return other != call && other.written && !other.connection.socket.Quiet()
 	})
 }
 
 // Recall takes a call back whose connection has come up, and keeps the connection.
 func (p *Pool) Recall(notice rules.NoticeID) {
-	c := p.out[notice]
-	if c == nil || c.written || !c.connection.up {
+	call := p.outstanding[notice]
+	if call == nil || call.written || !call.connection.established {
 		return
 	}
-	p.unassign(c.connection)
-	p.end(c, rules.Recalled)
+	p.unassign(call.connection)
+	p.finishWithResult(call, rules.Recalled)
 }
 
 // write writes the call of a connection. What has come by then would be taken for its answer: the call is taken back then.
-func (p *Pool) write(l *connection) {
-	c := l.call
-	if err := p.hooks.Record(c); err != nil {
-		p.unassign(l)
-		p.end(c, rules.Short)
+func (p *Pool) write(conn *connection) {
+	call := conn.call
+	if err := p.hooks.Record(call); err != nil {
+		p.unassign(conn)
+		p.finishWithResult(call, rules.Short)
 		return
 	}
-	if l.carried > 0 && !l.conn.Quiet() {
-		l.call = nil
-		p.retire(l)
-		p.end(c, rules.Recalled)
+	if conn.callsWritten > 0 && !conn.socket.Quiet() {
+		conn.call = nil
+		p.retire(conn)
+		p.finishWithResult(call, rules.Recalled)
 		return
 	}
 	if p.tracing {
-		p.log.Debug(logs.Written, "connection", l.number, "id", c.ID, "notice", c.Notice, "receiver", c.Receiver,
-			"begun_ago", p.now.Sub(c.Begun), "fresh", l.carried == 0, "carried", l.carried, "rested", l.quiet(time.Now()))
+		p.log.Debug(logs.Written, "connection", conn.number, "id", call.ID, "notice", call.Notice, "receiver", call.Receiver,
+			"begun_ago", p.now.Sub(call.Begun), "fresh", conn.callsWritten == 0, "carried", conn.callsWritten, "rested", conn.timeSinceRead(time.Now()))
 	}
-	l.carried++
-	l.statuses = l.statuses[:0]
-	l.last = c.Notice
-	wait := max(c.TimeOut-p.now.Sub(c.Begun), time.Millisecond)
+	conn.callsWritten++
+	conn.statuses = conn.statuses[:0]
+	conn.lastNotice = call.Notice
+	timeLeft := max(call.TimeOut-p.now.Sub(call.Begun), time.Millisecond)
 	fields := []http1.Field{
-		{Name: "Request-Id", Value: c.ID},
-		{Name: "Request-Timeout-Ms", Value: strconv.FormatInt(int64(math.Ceil(wait.Seconds()*1000)), 10)},
+		{Name: "Request-Id", Value: call.ID},
+		{Name: "Request-Timeout-Ms", Value: strconv.FormatInt(int64(math.Ceil(timeLeft.Seconds()*1000)), 10)},
 	}
-	if c.Mark != "" {
-		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: c.Mark})
+	if call.Mark != "" {
+		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: call.Mark})
 	}
-	p.bytes = http1.AppendRequest(p.bytes[:0], "POST", "/events", c.Address, fields, c.Body.Len())
-	c.written, l.waitUntil = true, time.Time{}
+	p.requestBuffer = http1.AppendRequest(p.requestBuffer[:0], "POST", "/events", call.Address, fields, call.Body.Len())
+	call.written, conn.waitUntil = true, time.Time{}
 	// An error is told by Closed, which knows from what was written whether the call can have run.
-	l.conn.Write(c.Body.AppendTo(p.bytes))
-	l.since, l.wrote = p.now, time.Now()
+	conn.socket.Write(call.Body.AppendTo(p.requestBuffer))
+	conn.stateSince, conn.writtenAt = p.now, time.Now()
 }
 
-func (p *Pool) end(c *Call, result rules.Result) { p.finish(c, rules.TripEnded{Result: result}) }
+func (p *Pool) finishWithResult(call *Call, result rules.Result) { p.finish(call, rules.TripEnded{Result: result}) }
 
-func (p *Pool) finish(c *Call, e rules.TripEnded) {
-	if p.out[c.Notice] != c {
+func (p *Pool) finish(call *Call, outcome rules.TripEnded) {
+	if p.outstanding[call.Notice] != call {
 		return
 	}
-	delete(p.out, c.Notice)
-	heap.Remove(&p.deadlines, c.place)
-	near := slices.DeleteFunc(p.byDestination[c.Destination], func(other *Call) bool { return other == c })
-	if p.byDestination[c.Destination] = near; len(near) == 0 {
-		delete(p.byDestination, c.Destination)
+	delete(p.outstanding, call.Notice)
+	heap.Remove(&p.deadlines, call.heapIndex)
+	remaining := slices.DeleteFunc(p.byDestination[call.Destination], func(other *Call) bool { return other == call })
+	if p.byDestination[call.Destination] = remaining; len(remaining) == 0 {
+		delete(p.byDestination, call.Destination)
 	}
-	e.Notice, e.Receiver = c.Notice, c.Receiver
-	e.Spent = rules.Millis(float64(p.now.Sub(c.Begun)) / float64(time.Millisecond))
-	e.Over = e.Over || e.Result == rules.Handled
-	p.ended = append(p.ended, e)
+	outcome.Notice, outcome.Receiver = call.Notice, call.Receiver
+	outcome.Spent = rules.Millis(float64(p.now.Sub(call.Begun)) / float64(time.Millisecond))
+	outcome.Over = outcome.Over || outcome.Result == rules.Handled
+	p.ended = append(p.ended, outcome)
 }
 
 // CallOff gives a call up. One that was not written yet cannot have run.
-func (p *Pool) CallOff(notice rules.NoticeID) { p.giveUp(p.out[notice], rules.Cancelled) }
+func (p *Pool) CallOff(notice rules.NoticeID) { p.abandon(p.outstanding[notice], rules.Cancelled) }
 
-func (p *Pool) giveUp(c *Call, result rules.Result) {
-	if c == nil {
+func (p *Pool) abandon(call *Call, result rules.Result) {
+	if call == nil {
 		return
 	}
-	if l := c.connection; !c.written {
+	if conn := call.connection; !call.written {
 		result = rules.NotConnected
-		if l.carried > 0 {
-			p.unassign(l)
-			p.end(c, result)
+		if conn.callsWritten > 0 {
+			p.unassign(conn)
+			p.finishWithResult(call, result)
 			return
 		}
-	} else if l.parser.Status() == 200 {
-		p.stopSending(l, "call given up within a good answer")
-		p.finish(c, goodAnswerCut(l))
+	} else if conn.parser.Status() == 200 {
+		p.stopSending(conn, "call given up within a good answer")
+		p.finish(call, truncatedSuccess(conn))
 		return
 	}
-	p.stopSending(c.connection, "call "+result.String())
-	p.end(c, result)
+	p.stopSending(call.connection, "call "+result.String())
+	p.finishWithResult(call, result)
 }
 
 // goodAnswerCut is the outcome of a call of which the answer said 200 and did not come whole: on a connection that has carried calls
 // before that may be a part of another call's.
-func goodAnswerCut(l *connection) rules.TripEnded {
-	if l.unsure() {
+func truncatedSuccess(conn *connection) rules.TripEnded {
+	if conn.reused() {
 		return rules.TripEnded{Result: rules.Ambiguous, MayBeDelivered: true}
 	}
 	return rules.TripEnded{Result: rules.Handled}
@@ -331,19 +331,19 @@
 
 // Expire gives up calls that are out too long, asks for those whose connections have settled, and returns when it is due again.
 func (p *Pool) Expire() (next time.Time) {
-	for len(p.deadlines) > 0 && !p.deadlines[0].due.After(p.now) {
-		p.giveUp(p.deadlines[0], rules.TimedOut)
+	for len(p.deadlines) > 0 && !p.deadlines[0].deadline.After(p.now) {
+		p.abandon(p.deadlines[0], rules.TimedOut)
 	}
 	if len(p.deadlines) > 0 {
-		next = p.deadlines[0].due
+		next = p.deadlines[0].deadline
 	}
-	if settles := p.stepWaiting(); !settles.IsZero() && (next.IsZero() || settles.Before(next)) {
-		next = settles
+	if settlesAt := p.releaseSettled(); !settlesAt.IsZero() && (next.IsZero() || settlesAt.Before(next)) {
+		next = settlesAt
 	}
 	return next
 }
 
 // Waiting tells whether there is something that was not handed over.
 func (p *Pool) Waiting() bool {
-	return len(p.ended)+len(p.up)+len(p.waits)+len(p.confirmed)+len(p.doubts)+len(p.surplus) > 0
+	return len(p.ended)+len(p.established)+len(p.requestedWaits)+len(p.confirmed)+len(p.retractions)+len(p.unsolicited) > 0
 }
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -21,55 +21,55 @@
 )
 
 // stage is a pool with a receiver of the test's own, which answers each call with the next text.
-type stage struct {
+type harness struct {
 	t        *testing.T
 	pool     *Pool
 	net      *sockets.Net
 	address  string
 	accepted chan net.Conn
-	answers  chan string
-	calls    rules.NoticeID
+	responses  chan string
+	lastNotice    rules.NoticeID
 	trace    strings.Builder
-	waits    bool // calls wait for connections that settle
-	confirm  time.Duration
+	waitToSettle    bool // calls wait for connections that settle
+	confirmAfter  time.Duration
 }
 
-func begin(t *testing.T) *stage {
+func newHarness(t *testing.T) *harness {
 	receiver, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stage{t: t, address: receiver.Addr().String(), accepted: make(chan net.Conn, 99), answers: make(chan string, 1),
-		confirm: confirmTime}
+	s := &harness{t: t, address: receiver.Addr().String(), accepted: make(chan net.Conn, 99), responses: make(chan string, 1),
+		confirmAfter: confirmTime}
 	go func() {
 		for {
-			c, err := receiver.Accept()
+			conn, err := receiver.Accept()
 			if err != nil {
 				return
 			}
-			s.accepted <- c
+			s.accepted <- conn
 			go func() {
-				for r := bufio.NewReader(c); ; {
-					request, err := http.ReadRequest(r)
+				for reader := bufio.NewReader(conn); ; {
+					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
 					io.Copy(io.Discard, request.Body)
-					if _, err := io.WriteString(c, <-s.answers); err != nil {
+					if _, err := io.WriteString(conn, <-s.responses); err != nil {
 						return
 					}
 				}
 			}()
 		}
 	}()
-	l := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
-	l.SettleTime = 0
-	pool := buffers.NewPool(l.Buffer)
-	s.pool = New(l, pool, []string{"x0", "x1"}, slog.New(slog.DiscardHandler), Hooks{
+	resources := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
+	resources.SettleTime = 0
+	pool := buffers.NewPool(resources.Buffer)
+	s.pool = New(resources, pool, []string{"x0", "x1"}, slog.New(slog.DiscardHandler), Hooks{
 		Record:        func(*Call) error { return nil },
-		ConfirmTime:   func(rules.ReceiverID) time.Duration { return s.confirm },
-		WaitsToSettle: func(rules.ReceiverID, time.Duration, time.Duration) bool { return s.waits }})
-	if s.net, err = sockets.Start("127.0.0.1:0", l, pool, s.pool); err != nil {
+		ConfirmTime:   func(rules.ReceiverID) time.Duration { return s.confirmAfter },
+		WaitsToSettle: func(rules.ReceiverID, time.Duration, time.Duration) bool { return s.waitToSettle }})
+	if s.net, err = sockets.Start("127.0.0.1:0", resources, pool, s.pool); err != nil {
 		t.Fatal(err)
 	}
 	s.pool.Use(s.net)
@@ -81,22 +81,22 @@
 const confirmTime = 100 * time.Millisecond
 
 // call makes a call and writes down what it came to, and what is left of its connection.
-func (s *stage) call(answer string) {
-	s.calls++
-	s.answers <- answer
+func (s *harness) deliver(response string) {
+	s.lastNotice++
+	s.responses <- response
 	s.pool.At(time.Now())
-	s.pool.Send(&Call{Notice: s.calls, Address: s.address, ID: fmt.Sprint(s.calls), TimeOut: 400 * time.Millisecond})
+	s.pool.Send(&Call{Notice: s.lastNotice, Address: s.address, ID: fmt.Sprint(s.lastNotice), TimeOut: 400 * time.Millisecond})
 	for s.pool.Out() > 0 {
 		s.turn()
 	}
-	first, _, _ := strings.Cut(answer, "\r\n")
-	for _, e := range s.pool.Ended() {
-		fmt.Fprintf(&s.trace, "%d %.24q: result %d, wait %.0f, told %v, over %v, %d connections, %d idle\n", e.Notice, first, e.Result,
-			e.Wait, e.LimitTold, e.Over, len(s.accepted), len(s.pool.idle[0]))
+	first, _, _ := strings.Cut(response, "\r\n")
+	for _, ended := range s.pool.Ended() {
+		fmt.Fprintf(&s.trace, "%d %.24q: result %d, wait %.0f, told %v, over %v, %d connections, %d idle\n", ended.Notice, first, ended.Result,
+			ended.Wait, ended.LimitTold, ended.Over, len(s.accepted), len(s.pool.idle[0]))
 	}
 }
 
-func (s *stage) turn() {
+func (s *harness) turn() {
 	time.Sleep(time.Millisecond)
 	s.pool.At(time.Now())
 	s.pool.Expire()
@@ -107,28 +107,28 @@
 	s.pool.Sweep()
 }
 
-func (s *stage) check(want string) {
+func (s *harness) checkTrace(want string) {
 	s.t.Helper()
 	if diff := cmp.Diff(strings.TrimSpace(want), strings.TrimSpace(s.trace.String())); diff != "" {
 		s.t.Errorf("-want +got:\n%s", diff)
 	}
 }
 
-const short = "Content-Length: 2\r\n\r\nok"
+const shortBody = "Content-Length: 2\r\n\r\nok"
 
 // A kept connection that has ended since the last turn, or that said something unasked, is not used: the call would
 // fail for nothing, or be taken to have an answer that is not its own.
 func TestNotQuietWhileIdle(t *testing.T) {
-	s := begin(t)
-	s.call("HTTP/1.1 200 OK\r\n" + short)
-	s.call("HTTP/1.1 200 OK\r\n" + short)
+	s := newHarness(t)
+	s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
+	s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
 	(<-s.accepted).Close()
 	time.Sleep(100 * time.Millisecond) // ended, and not gathered yet
-	s.call("HTTP/1.1 200 OK\r\n" + short)
-	io.WriteString(<-s.accepted, "HTTP/1.1 200 Unasked\r\n"+short)
+	s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
+	io.WriteString(<-s.accepted, "HTTP/1.1 200 Unasked\r\n"+shortBody)
 	time.Sleep(100 * time.Millisecond) // come, and not gathered yet
-	s.call("HTTP/1.1 503 Full\r\n" + short)
-	s.check(`
+	s.deliver("HTTP/1.1 503 Full\r\n" + shortBody)
+	s.checkTrace(`
 1 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 1 connections, 1 idle
 2 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 1 connections, 1 idle
 3 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 1 connections, 1 idle
@@ -137,14 +137,14 @@
 }
 
 // Of an answer that can't be read only a first line of 200 holds; what it claims not to have run may have run.
-func TestSpoiltAnswers(t *testing.T) {
-	s := begin(t)
+func TestMalformedResponses(t *testing.T) {
+	s := newHarness(t)
 	endless := strings.Repeat("A: b\r\n", 3000)
-	for _, answer := range []string{
-		"200 OK\r\n" + short,
-		"200 OK\r\n" + short + "HTTP/1.1 500 Again\r\n" + short,
-		"503 Full\r\nServer-Load: x0=nonsense\r\n" + short + "noise",
-		"100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\nHTTP/1.1 429 Wait\r\nRetry-After: 0.5\r\nServer-Load: x0=0.5,x1=9\r\n" + short,
+	for _, response := range []string{
+		"200 OK\r\n" + shortBody,
+		"200 OK\r\n" + shortBody + "HTTP/1.1 500 Again\r\n" + shortBody,
+		"503 Full\r\nServer-Load: x0=nonsense\r\n" + shortBody + "noise",
+		"100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\nHTTP/1.1 429 Wait\r\nRetry-After: 0.5\r\nServer-Load: x0=0.5,x1=9\r\n" + shortBody,
 		"200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20),
 		"200 OK\r\nContent-Length: -1\r\n\r\n",
 		"200 OK\r\nContent-Length: 9\r\n\r\ncut",
@@ -152,8 +152,8 @@
 		"200 OK\r\n" + endless,
 		"200 OK\r\nServer-Load:",
 		"200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-		"OK 200\r\n" + short,
-		"2x0 OK\r\n" + short,
+		"OK 200\r\n" + shortBody,
+		"2x0 OK\r\n" + shortBody,
 		"200",
 		"503 Full\r\nno colon\r\n\r\n",
 		"503 Full\r\nContent-Length: 3000000000\r\n\r\nxx",
@@ -163,7 +163,7 @@
 		"410 Over\r\nContent-Length: 9\r\n\r\ncut",
 		"101 Switching\r\n\r\n",
 	} {
-		s.call("HTTP/1.1 " + answer)
+		s.deliver("HTTP/1.1 " + response)
 		for i := 0; i < 300 && len(s.pool.connections) > len(s.pool.idle[0]); i++ {
 			s.turn() // a body that does not come is waited for
 		}
@@ -172,7 +172,7 @@
 			fmt.Fprintf(&s.trace, "  %d connections left\n", len(s.pool.connections))
 		}
 	}
-	s.check(`
+	s.checkTrace(`
 1 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 1 connections, 1 idle
 2 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 2 connections, 0 idle
 3 "HTTP/1.1 503 Full": result 2, wait 0, told false, over false, 3 connections, 0 idle
@@ -199,8 +199,8 @@
 
 // A process that stood still while a connection came up does not write the call any more: what the decisions were told
 // since then may bar it.
-func TestComesUpTooLate(t *testing.T) {
-	s := begin(t)
+func TestConnectionEstablishedTooLate(t *testing.T) {
+	s := newHarness(t)
 	now := time.Now()
 	s.pool.At(now)
 	s.pool.Send(&Call{Notice: 1, Address: s.address, ID: "1", TimeOut: time.Minute})
@@ -215,15 +215,15 @@
 }
 
 // A process that stood still keeps a call back while an answer of the same destination, which may tell to wait, is unread.
-func TestUnreadAnswerKeepsCallsBackAfterStandingStill(t *testing.T) {
-	s := begin(t)
+func TestUnreadResponseHoldsBackCallsAfterProcessPause(t *testing.T) {
+	s := newHarness(t)
 	now := time.Now()
 	s.pool.Begin(now)
 	s.pool.Send(&Call{Notice: 1, Address: s.address, ID: "1", TimeOut: time.Minute})
-	for !s.pool.out[1].written {
+	for !s.pool.outstanding[1].written {
 		s.turn()
 	}
-	s.answers <- "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 2\r\n" + short
+	s.responses <- "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 2\r\n" + shortBody
 	time.Sleep(50 * time.Millisecond) // the answer has come, and nobody has gathered it
 	s.pool.Begin(time.Now())
 	s.pool.Send(&Call{Notice: 2, Address: s.address, ID: "2", TimeOut: time.Minute})
@@ -236,7 +236,7 @@
 // What can't be sent for want of a connection, or of room in the ledger, is told as a shortage of ours; an idle
 // connection makes room first.
 func TestShortages(t *testing.T) {
-	s := begin(t)
+	s := newHarness(t)
 	s.pool.limits.Receivers = 1
 	s.pool.At(time.Now())
 	s.pool.Send(&Call{Notice: 1, Receiver: 1, Address: s.address, ID: "1", TimeOut: time.Minute})
@@ -244,7 +244,7 @@
 	if ended := s.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.Short {
 		t.Errorf("ended: %+v", ended)
 	}
-	s.answers <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	s.responses <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for s.pool.Out() > 0 {
 		s.turn()
 	}
@@ -260,9 +260,9 @@
 	if ended := s.pool.Ended(); len(ended) != 1 || ended[0].Result != rules.Short {
 		t.Errorf("ledger refuses: %+v", ended)
 	}
-	for _, why := range []error{syscall.EMFILE, syscall.EADDRNOTAVAIL} {
-		if !localShortage(&net.OpError{Err: os.NewSyscallError("socket", why)}) {
-			t.Errorf("%v is not told as ours", why)
+	for _, err := range []error{syscall.EMFILE, syscall.EADDRNOTAVAIL} {
+		if !localShortage(&net.OpError{Err: os.NewSyscallError("socket", err)}) {
+			t.Errorf("%v is not told as ours", err)
 		}
 	}
 	if localShortage(&net.OpError{Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}) {
--- a/internal/calls/deadlines.go
+++ b/internal/calls/deadlines.go
@@ -8,12 +8,12 @@
 func (h byDeadline) Len() int { return len(h) }
 
 func (h byDeadline) Less(i, j int) bool {
-	return h[i].due.Before(h[j].due) || h[i].due.Equal(h[j].due) && h[i].Notice < h[j].Notice
+	return h[i].deadline.Before(h[j].deadline) || h[i].deadline.Equal(h[j].deadline) && h[i].Notice < h[j].Notice
 }
 
-func (h byDeadline) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].place, h[j].place = i, j }
+func (h byDeadline) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
 
-func (h *byDeadline) Push(x any) { c := x.(*Call); c.place = len(*h); *h = append(*h, c) }
+func (h *byDeadline) Push(x any) { call := x.(*Call); call.heapIndex = len(*h); *h = append(*h, call) }
 
 func (h *byDeadline) Pop() any {
 	old := *h
--- a/internal/calls/retry_after.go
+++ b/internal/calls/retry_after.go
@@ -11,21 +11,21 @@
 )
 
 // longestWait is what a wait is cut to, in seconds: some eleven days.
-const longestWait = 1e6
+const maxWaitSeconds = 1e6
 
 // retryAfter is the time for which an answer asks not to be called, by its Retry-After fields: seconds, decimals allowed, or
 // a date by the wall clock. Of several the longest holds; 0: none, or none that can be read.
-func retryAfter(m *http1.Message, now time.Time) rules.Millis {
+func retryAfter(message *http1.Message, now time.Time) rules.Millis {
 	longest := 0.0
-	for _, field := range m.Fields {
+	for _, field := range message.Fields {
 		if field.Name == "retry-after" {
-			longest = max(longest, waitSeconds(field.Value, now))
+			longest = max(longest, parseRetryAfter(field.Value, now))
 		}
 	}
-	return rules.Millis(min(longest, longestWait) * 1000)
+	return rules.Millis(min(longest, maxWaitSeconds) * 1000)
 }
 
-func waitSeconds(text string, now time.Time) float64 {
+func parseRetryAfter(text string, now time.Time) float64 {
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil || math.IsInf(seconds, 1) {
 		if math.IsNaN(seconds) {
 			return 0
--- a/internal/calls/retry_after_test.go
+++ b/internal/calls/retry_after_test.go
@@ -9,7 +9,7 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-func TestRetryAfterIsReadInAllItsForms(t *testing.T) {
+func TestRetryAfterForms(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	for _, c := range []struct {
 		values []string
