--- a/internal/calls/answers.go
+++ b/internal/calls/answers.go
@@ -15,9 +15,9 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// What answers tell: outcomes, waits and load reports.
+// This file reads responses: outcomes, requested waits and load reports.
 
-// Data takes bytes of an answer.
+// Data processes bytes received on a connection. The sockets package calls it.
 func (p *Pool) Data(socket *sockets.Conn, data []byte) {
 	conn := p.connections[socket]
 	if conn == nil {
@@ -30,7 +30,7 @@
 		conn.call = nil
 		p.reportUnsolicited(conn, silence, data)
 		if conn.callsWritten == 0 {
-			p.drop(conn, "said something before its first call")
+			p.drop(conn, "received bytes before its first call")
 			p.finishWithResult(call, rules.NotConnected)
 			return
 		}
@@ -45,7 +45,7 @@
 	if conn.call == nil && !conn.readingBody {
 		p.Stale++
 		if bytes.HasPrefix(data, []byte(idleTimeoutPrefix)) {
-			p.drop(conn, "idle for too long to its receiver")
+			p.drop(conn, "receiver sent status 408: connection idle for too long")
 			return
 		}
 		p.reportUnsolicited(conn, silence, data)
@@ -58,11 +58,11 @@
 	rest, done, err := conn.parser.Feed(data)
 	switch {
 	case err != nil:
-		p.connectionFailed(conn, "answer spoilt: "+err.Error())
+		p.connectionFailed(conn, "malformed response: "+err.Error())
 	case done:
 		p.responseReceived(conn, conn.parser.Take(), rest, false)
 	case conn.call != nil && conn.parser.HeadRead() && conn.parser.Status() == 200:
-		// All that counts has come. A body that goes on and on must not hold the call up.
+		// The head of the response decides the outcome: the call must not wait for a body that may never end.
 		conn.readingBody = true
 		p.recordOutcome(conn, conn.parser.Message())
 	default:
@@ -70,10 +70,12 @@
 	}
 }
 
-// idleTimedOut is how the answer begins that some servers send, unasked, on a connection that was idle for too long to them.
+// idleTimeoutPrefix is the beginning of the response that some servers send, without a request, when a connection
+// has been idle for longer than they allow.
 const idleTimeoutPrefix = "HTTP/1.1 408"
 
-// hearWait tells a wait as soon as it has been read: the answer's end may come late or never.
+// readRequestedWait reports a requested wait as soon as its header has been read: the response's end may come late
+// or never.
 func (p *Pool) readRequestedWait(conn *connection) {
 	requested := retryAfter(conn.parser.Message(), p.now)
 	if requested <= 0 || !conn.waitUntil.IsZero() || !isRefusal(conn.parser.Status()) {
@@ -83,8 +85,9 @@
 	p.requestedWaits = append(p.requestedWaits, rules.WaitTold{Receiver: conn.receiver, Wait: requested})
 }
 
-// hearLate hears what comes on a connection that is not used any more: the answer to a call that was given up may have crossed that,
-// and tell a wait, and what came unasked may be the true answer to a call whose booked one was another's.
+// readLate processes bytes on a connection that sends no more requests. The response to an abandoned call may have
+// been on its way already, and may request a wait. Unsolicited bytes may be the correct response to a call that was
+// recorded with the response to another one.
 func (p *Pool) readLate(conn *connection, data []byte) {
 	conn.statuses = appendStatuses(conn.statuses[:0], data)
 	conn.lateBytes += len(data)
@@ -97,16 +100,16 @@
 		switch {
 		case conn.unsolicited:
 			p.retractContradicted(conn, anyExchange)
-		case conn.reused() && len(conn.statuses) > 0: // it may as well be the late answer to the call that was given up
+		case conn.reused() && len(conn.statuses) > 0: // it may also be the late response to the abandoned call
 			p.retractContradicted(conn, isUnconfirmed)
 			p.confirm(conn, anyExchange)
 		}
 		switch {
 		case err != nil && conn.unsolicited && conn.lateBytes <= p.limits.Body:
-			conn.parser.Free() // noise, behind which an answer may come yet
+			conn.parser.Free() // unreadable bytes, which a response may still follow
 			return
 		case err != nil || done && !conn.unsolicited && !p.awaitsLateResponse(conn):
-			p.drop(conn, "nothing more to be heard")
+			p.drop(conn, "no further response expected")
 			return
 		}
 		if done {
@@ -117,7 +120,8 @@
 	}
 }
 
-// hearStatuses looks for status lines in what has come for a call. Behind the head of its answer they are another answer's.
+// collectStatuses looks for status lines in the bytes received for a call. After the head of the call's response
+// they belong to another response.
 func (p *Pool) collectStatuses(conn *connection, data []byte) {
 	if conn.readingBody {
 		conn.statuses = conn.statuses[:0]
@@ -127,26 +131,27 @@
 	}
 }
 
-// doubtOthers takes outcomes back that don't hold if the answers heard last belong to calls that were answered before.
+// retractContradicted retracts the outcomes that are wrong if the responses received last belong to calls that were
+// answered before. Only exchanges that match accepts are retracted.
 func (p *Pool) retractContradicted(conn *connection, match func(exchange) bool) {
 	for _, status := range conn.statuses {
 		p.retractShifted(conn, status, match)
 	}
 }
 
-// contradicted tells whether the answer to the call of a connection may be another call's: the connection has carried calls before, and
-// what has come since holds an answer with another status.
+// contradicted reports whether the response to the call of a connection may belong to another call: the connection
+// is reused, and a response with another status has been received since the call was written.
 func (conn *connection) contradicted(status int) bool {
 	differs := func(collected int) bool { return collected != status }
 	return conn.reused() && slices.ContainsFunc(conn.statuses, differs)
 }
 
-// mayBeDelivered tells whether one of the answers that were heard for a call said 200, or may yet.
+// mayBeDelivered reports whether status, or that of another response received since the call was written, is 200.
 func (conn *connection) mayBeDelivered(status int) bool {
 	return status == http.StatusOK || slices.Contains(conn.statuses, http.StatusOK)
 }
 
-// appendStatuses appends the statuses of all status lines in b but those of interim answers.
+// appendStatuses appends the status of each status line found in data, except for interim (1xx) responses.
 func appendStatuses(statuses []int, data []byte) []int {
 	const version, statusLine = "HTTP/1.", "HTTP/1.1 200"
 	for {
@@ -162,7 +167,8 @@
 	}
 }
 
-// waitLeft is what is left of the wait that an answer tells.
+// remainingWait returns what is left of the wait that a response requests, and clears the connection's waitUntil. A
+// wait that was not reported before is read from the message.
 func (p *Pool) remainingWait(conn *connection, message *http1.Message) rules.Millis {
 	until := conn.waitUntil
 	if conn.waitUntil = (time.Time{}); until.IsZero() {
@@ -171,22 +177,27 @@
 	return max(rules.Millis(until.Sub(p.now).Seconds()*1000), 0)
 }
 
+// isRefusal reports whether a status rejects a call without running it and may request a wait.
 func isRefusal(status int) bool { return status == 429 || status == 503 }
 
-func toDuration(m rules.Millis) time.Duration { return time.Duration(m * rules.Millis(time.Millisecond)) }
+// toDuration converts milliseconds to a time.Duration.
+func toDuration(m rules.Millis) time.Duration {
+	return time.Duration(m * rules.Millis(time.Millisecond))
+}
 
-// answered ends a call with its answer, and keeps the connection if nothing speaks against it: bytes behind the answer, or the
-// connection's end.
+// responseReceived ends the call of a connection, if it has not ended yet, with a complete response. The connection
+// becomes idle unless bytes follow the response (trailing), the response announces that the receiver closes the
+// connection, the connection has ended, or the receiver is no longer listed.
 func (p *Pool) responseReceived(conn *connection, message *http1.Message, trailing []byte, ended bool) {
 	message.Body.Free()
 	if p.tracing {
-		p.log.Debug(logs.Answered, "connection", conn.number, "notice", conn.noticeID(), "receiver", conn.receiver, "status", message.Status,
-			"after", time.Since(conn.writtenAt), "behind", len(trailing) > 0)
+		p.log.Debug(logs.Answered, "connection", conn.number, "notice", conn.noticeID(), "receiver", conn.receiver,
+			"status", message.Status, "after", time.Since(conn.writtenAt), "behind", len(trailing) > 0)
 	}
 	if len(trailing) > 0 && !message.Close {
 		p.Beyond++
 	}
-	// A call must be over at its receiver before it is sent again.
+	// The receiver must have finished a call before the call is sent again: closing the connection ends it there.
 	mayBeRetried := conn.call != nil && conn.contradicted(message.Status) && !conn.mayBeDelivered(message.Status)
 	if conn.call != nil {
 		p.recordOutcome(conn, message)
@@ -197,24 +208,25 @@
 	conn.readingBody, conn.stateSince = false, p.now
 	switch {
 	case len(trailing) > 0 && mayBeRetried:
-		p.drop(conn, "its call may be sent again")
+		p.drop(conn, "unsolicited bytes after the response to a call that may be sent again")
 	case len(trailing) > 0:
 		p.handleUnsolicited(conn, trailing)
 	case message.Close:
-		p.confirm(conn, anyExchange) // no answer comes behind the last one
-		p.drop(conn, "answer said so")
+		p.confirm(conn, anyExchange) // no response follows the one that announces the close
+		p.drop(conn, "closed as announced in the response")
 	case ended:
-		p.drop(conn, "ended with its answer")
+		p.drop(conn, "closed by the receiver after the response")
 	case conn.delisted:
 		p.settle(conn)
-		p.closeOrRetire(conn, "the receiver is gone")
+		p.closeOrRetire(conn, "receiver no longer listed")
 	default:
 		p.settle(conn)
 		p.idle[conn.receiver] = append(p.idle[conn.receiver], conn)
 	}
 }
 
-// outcome ends a call by the head of its answer, unless that may be another call's.
+// recordOutcome ends the call of a connection with the outcome that the head of its response implies. It is
+// ambiguous if the response may belong to another call.
 func (p *Pool) recordOutcome(conn *connection, message *http1.Message) {
 	outcome := rules.TripEnded{Result: rules.Errored}
 	if conn.contradicted(message.Status) {
@@ -251,14 +263,15 @@
 	p.endCall(conn, outcome)
 }
 
-// endCall ends the call that a connection carries.
+// endCall ends the call of a connection with an outcome.
 func (p *Pool) endCall(conn *connection, outcome rules.TripEnded) {
 	call := conn.call
 	conn.call, conn.stateSince = nil, p.now
 	p.finish(call, outcome)
 }
 
-// loadReport reads a report, "x0=0.4,x1=25"; the decisions read its first two values.
+// parseLoadReport parses the value of a Server-Load header, for example "x0=0.4,x1=25". The rules use the first two
+// names: the share of the receiver's limit that is left, and the rate of the limit in calls per second.
 func (p *Pool) parseLoadReport(text string) (reported bool, capacityLeft, rate float64) {
 	if text == "" || len(p.loadReportNames) < 2 {
 		return false, 0, 0
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -1,5 +1,5 @@
-// Package calls keeps the connections to receivers and brings each call to its outcome. It sends nothing of its
-// own: what a call came to goes back to the decisions.
+// Package calls keeps the HTTP connections to receivers and carries each call to its outcome. It decides nothing
+// itself: the owner of the Pool starts every call, and collects the outcomes, requested waits and other reports.
 package calls
 
 import (
@@ -19,133 +19,139 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Call is one trip of a notice.
+// Call is one HTTP request to a receiver, which carries one trip of a notice.
 type Call struct {
 	Notice   rules.NoticeID
-	Trip     int // of the notice, by which a confirmation names it
+	Trip     int // number of this trip of the notice; a Confirmation repeats it
 	Receiver rules.ReceiverID
-	// Destination is what the receiver belongs to: a wait that one of its calls is told binds all of them.
+	// Destination owns the receiver. A wait requested in a response to one call applies to the whole destination.
 	Destination rules.DestinationID
 	Address     string
 	Zone        rules.ZoneID
-	ID, Mark    string // of the notice, as its client gave them
+	ID, Mark    string // request id and idempotency key of the notice, as its client gave them
 	Body        *buffers.Chain
 	TimeOut     time.Duration
 
 	Begun      time.Time // set by Send
-	deadline        time.Time // its time-out is over
-	heapIndex      int       // among those out
+	deadline   time.Time // Begun + TimeOut
+	heapIndex  int       // in Pool.deadlines
 	connection *connection
-	written    bool // all of it was handed to the connection
+	written    bool // the whole request was handed to the connection
 }
 
 // connection is one connection to a receiver.
 type connection struct {
 	socket       *sockets.Conn
-	number     uint64 // of those that the pool made
-	parser     *http1.Parser
-	receiver   rules.ReceiverID
-	established         bool
-	callsWritten    int            // calls that were written
-	lastNotice       rules.NoticeID // of the last of them
-	call       *Call          // nil: idle, or reading what is left of an answer
-	readingBody       bool           // the answer's head was enough, its body is still to come
-	delisted       bool           // its receiver is listed no more
-	receiveOnly    bool           // its call was given up: nothing more is sent, and only a wait is still heard
-	lateBytes int            // of what came when it was not used any more
-	unsolicited    bool           // the same, after something came that no call had asked for
-	retired    bool           // it is not used again, and closed when it has settled
-	statuses   []int          // of all answers that were heard since the call was written, where they may be other calls'
-	stateSince      time.Time
-	writtenAt      time.Time // when the last call was written
-	lastRead      time.Time // when the last bytes were heard
-	// settledAt is when it may carry a further call: it must have been quiet for a while since its last answer.
+	number       uint64 // counts the connections that the pool opened, from 1
+	parser       *http1.Parser
+	receiver     rules.ReceiverID
+	established  bool
+	callsWritten int            // calls written on this connection so far
+	lastNotice   rules.NoticeID // notice of the last call written
+	call         *Call          // nil: idle, or reading the rest of a response
+	readingBody  bool           // the head of the response decided the outcome; its body is still being read
+	delisted     bool           // its receiver is no longer on the receiver list
+	receiveOnly  bool           // no more requests are sent; only late responses and their waits are read
+	lateBytes    int            // bytes received since the connection became receiveOnly
+	unsolicited  bool           // receiveOnly because bytes arrived that no call had asked for
+	retired      bool           // not used again, and closed once no late response can come any more
+	// statuses holds the status of every response received since the last call was written. It is kept only on reused
+	// connections, where a response may belong to an earlier call.
+	statuses   []int
+	stateSince time.Time // when the connection last became busy, idle or receiveOnly
+	writtenAt  time.Time // when the last call was written
+	lastRead   time.Time // when the last bytes were received
+	// settledAt is when the connection may carry another call: SettleTime after its last response, in which late or
+	// duplicate responses would show.
 	settledAt time.Time
-	exchanges []exchange // answered on it, of which the answers may have been other calls'
-	// waitUntil is the end of the wait that the answer being read has told; zero: none.
+	exchanges []exchange // answered calls whose responses may belong to other calls
+	// waitUntil is the end of the wait that the response being read has requested; zero: none.
 	waitUntil time.Time
 }
 
-// Pool is all connections to receivers.
+// Pool holds all connections to receivers and all calls that have no outcome yet.
 type Pool struct {
-	net     *sockets.Net
-	limits  limits.Limits
-	buffers *buffers.Pool
-	loadReportNames  []string
-	hooks   Hooks
-	log     *slog.Logger
-	tracing bool // each connection's way is logged
+	net             *sockets.Net
+	limits          limits.Limits
+	buffers         *buffers.Pool
+	loadReportNames []string // names of the values in a load report, in the order in which the rules use them
+	hooks           Hooks
+	log             *slog.Logger
+	tracing         bool // log the steps of each connection at debug level
 
-	outstanding           map[rules.NoticeID]*Call
-	byDestination map[rules.DestinationID][]*Call // those out, by destination
-	deadlines     byDeadline                      // those out, the first to time out in front
-	connections   map[*sockets.Conn]*connection
-	opened          uint64                             // connections
-	idle          map[rules.ReceiverID][]*connection // the one used last at the end
-	settling       []*connection                      // those that settle, with calls that wait for that
-	connectTimes       map[rules.ReceiverID]time.Duration // how long the last connection to a receiver took to come up
-	ended         []rules.TripEnded
-	established            []rules.ConnectionUp
-	requestedWaits         []rules.WaitTold
-	confirmed     []Confirmation
-	retractions        []Doubt
-	unsolicited       []rules.ReceiverID
-	now           time.Time
-	requestBuffer         []byte
-	// lagged says that the process may have stood still since connections were last heard: answers may wait unread.
+	outstanding    map[rules.NoticeID]*Call           // calls without an outcome
+	byDestination  map[rules.DestinationID][]*Call    // the same calls by destination
+	deadlines      byDeadline                         // the same calls, the next to time out first
+	connections    map[*sockets.Conn]*connection      // all open connections
+	opened         uint64                             // connections opened so far
+	idle           map[rules.ReceiverID][]*connection // the most recently used last
+	settling       []*connection                      // connections with a call that waits until they have settled
+	connectTimes   map[rules.ReceiverID]time.Duration // how long the last connection to a receiver took to connect
+	ended          []rules.TripEnded
+	established    []rules.ConnectionUp
+	requestedWaits []rules.WaitTold
+	confirmed      []Confirmation
+	retractions    []Doubt
+	unsolicited    []rules.ReceiverID
+	now            time.Time
+	requestBuffer  []byte
+	// lagged reports that the process may have been paused since connections were last read, so that responses may be
+	// unread.
 	lagged bool
 
-	Spoilt  int // answers that could not be used
-	Beyond  int // good answers with more bytes behind them
-	Stale   int // idle connections not used, as they had ended or said something unasked
-	Unasked int // connections that said something unasked, or more than an answer
+	Spoilt  int // malformed responses
+	Beyond  int // well-formed responses followed by more bytes
+	Stale   int // idle connections found closed, or with unsolicited bytes on them
+	Unasked int // times that unsolicited bytes arrived, including bytes that follow a response
 }
 
-// Hooks is what a pool asks for.
+// Hooks are the functions of the owner that a Pool calls.
 type Hooks struct {
-	// Record is asked just before a call is written; its error keeps the call from leaving.
+	// Record is called just before a call is written. If it returns an error, the call is not sent.
 	Record func(*Call) error
-	// ConfirmTime is how long behind an answer of a receiver the true one would have come, if that was another call's.
+	// ConfirmTime returns how long after a response of a receiver the correct one would arrive, if the first
+	// belonged to another call.
 	ConfirmTime func(receiver rules.ReceiverID) time.Duration
-	// WaitsToSettle tells whether a call waits for a connection that has settled when left is over, rather than for a new one, of
-	// which the last took comesUp to come up.
+	// WaitsToSettle reports whether a call waits for a connection that has settled after left, instead of opening a
+	// new connection. The last new connection to the receiver took comesUp to connect.
 	WaitsToSettle func(receiver rules.ReceiverID, left, comesUp time.Duration) bool
 }
 
-// New makes a pool. report names the values of a load report in the decisions' order.
+// New returns a Pool without connections. report names the values of a load report in the order in which the rules
+// use them. Use must be called before the first Send.
 func New(resources limits.Limits, pool *buffers.Pool, report []string, log *slog.Logger, hooks Hooks) *Pool {
 	return &Pool{limits: resources, buffers: pool, loadReportNames: report, hooks: hooks, log: log,
 		tracing: log.Enabled(context.Background(), slog.LevelDebug), outstanding: map[rules.NoticeID]*Call{},
-		byDestination: map[rules.DestinationID][]*Call{}, connections: map[*sockets.Conn]*connection{}, idle: map[rules.ReceiverID][]*connection{},
-		connectTimes: map[rules.ReceiverID]time.Duration{}}
+		byDestination: map[rules.DestinationID][]*Call{}, connections: map[*sockets.Conn]*connection{},
+		idle: map[rules.ReceiverID][]*connection{}, connectTimes: map[rules.ReceiverID]time.Duration{}}
 }
 
-// Use says on which sockets calls go.
+// Use sets the network through which connections are opened.
 func (p *Pool) Use(net *sockets.Net) { p.net = net }
 
-// Begin sets the time at which a turn begins.
+// Begin starts a turn of the owner's loop at now, and notes whether the last one was longer ago than limits.Lag.
 func (p *Pool) Begin(now time.Time) {
 	p.lagged = now.Sub(p.now) > p.limits.Lag
 	p.now = now
 }
 
-// At sets the time for what comes next.
+// At sets the current time for the following operations of the turn.
 func (p *Pool) At(now time.Time) { p.now = now }
 
-// Made is the number of connections that were begun.
+// Made returns the number of connections opened so far, whether or not they were established.
 func (p *Pool) Made() int { return int(p.opened) }
 
-// Out is the number of calls without an outcome.
+// Out returns the number of calls without an outcome.
 func (p *Pool) Out() int { return len(p.outstanding) }
 
-// Ended hands over the outcomes since the last time.
+// Ended returns the outcomes since its last call.
 func (p *Pool) Ended() []rules.TripEnded {
 	ended := p.ended
 	p.ended = nil
 	return ended
 }
 
-// Send begins a call: on an idle connection that has settled, or one that will soon, or a new one.
+// Send starts a call on an idle connection that has settled, else on one that settles soon, else on a new connection.
 func (p *Pool) Send(call *Call) {
 	call.Begun, call.deadline = p.now, p.now.Add(call.TimeOut)
 	p.outstanding[call.Notice] = call
@@ -167,7 +173,7 @@
 	p.connect(call)
 }
 
-// connect begins a new connection for a call.
+// connect opens a new connection for a call.
 func (p *Pool) connect(call *Call) {
 	if len(p.connections) >= p.limits.Receivers && !p.closeOldest() {
 		p.finishWithResult(call, rules.Short)
@@ -178,27 +184,29 @@
 		parser: http1.NewParser(p.buffers, true, p.limits.Head, p.limits.Fields, p.limits.Body)}
 	call.connection = conn
 	if p.tracing {
-		p.log.Debug(logs.Connecting, "connection", conn.number, "notice", call.Notice, "receiver", call.Receiver, "address", call.Address)
+		p.log.Debug(logs.Connecting, "connection", conn.number, "notice", call.Notice, "receiver", call.Receiver,
+			"address", call.Address)
 	}
 	conn.socket = p.net.Dial(call.Address, p.limits.ConnectTime, p.limits.Head+p.limits.Body, p)
 	p.connections[conn.socket] = conn
 }
 
-// Up hands over the calls whose connections have come up since the last time: each waits for Write or Recall.
+// Up returns the calls whose connections have become ready since its last call. Each waits for Write or Recall.
 func (p *Pool) Up() []rules.ConnectionUp {
 	established := p.established
 	p.established = nil
 	return established
 }
 
-// Waits hands over the waits that were told since the last time by answers whose end has not come.
+// Waits returns the waits requested since its last call by responses that are not complete yet.
 func (p *Pool) Waits() []rules.WaitTold {
 	waits := p.requestedWaits
 	p.requestedWaits = nil
 	return waits
 }
 
-// Write lets a call leave whose connection has come up.
+// Write sends a call whose connection is ready. If the connection has closed or received bytes meanwhile, a reused
+// one is replaced by a new connection; on a new one the call ends as not connected.
 func (p *Pool) Write(notice rules.NoticeID) {
 	call := p.outstanding[notice]
 	if call == nil || call.written || !call.connection.established {
@@ -217,13 +225,14 @@
 		p.retire(conn)
 		p.connect(call)
 	default:
-		p.drop(conn, "ended or said something before its first call")
+		p.drop(conn, "closed or received bytes before its first call")
 		p.finishWithResult(call, rules.NotConnected)
 	}
 }
 
-// unheard tells whether another call to the same destination has an answer that was not read yet, which may tell to wait.
-// It looks only where the process may have stood still; else what came was heard at the beginning of the turn.
+// hasUnreadResponse reports whether another call to the same destination has an unread response, which may request
+// a wait. It looks only if the process may have been paused: otherwise everything received was read at the
+// beginning of the turn.
 func (p *Pool) hasUnreadResponse(call *Call) bool {
 	if !p.lagged && time.Since(p.now) <= p.limits.Lag {
 		return false
@@ -233,7 +242,7 @@
 	})
 }
 
-// Recall takes a call back whose connection has come up, and keeps the connection.
+// Recall withdraws a call that has not been written although its connection is ready, and keeps the connection.
 func (p *Pool) Recall(notice rules.NoticeID) {
 	call := p.outstanding[notice]
 	if call == nil || call.written || !call.connection.established {
@@ -243,7 +252,8 @@
 	p.finishWithResult(call, rules.Recalled)
 }
 
-// write writes the call of a connection. What has come by then would be taken for its answer: the call is taken back then.
+// write records and writes the call of a connection. Bytes that have arrived on a reused connection by then would
+// be taken for the call's response, so the call is recalled instead.
 func (p *Pool) write(conn *connection) {
 	call := conn.call
 	if err := p.hooks.Record(call); err != nil {
@@ -259,7 +269,8 @@
 	}
 	if p.tracing {
 		p.log.Debug(logs.Written, "connection", conn.number, "id", call.ID, "notice", call.Notice, "receiver", call.Receiver,
-			"begun_ago", p.now.Sub(call.Begun), "fresh", conn.callsWritten == 0, "carried", conn.callsWritten, "rested", conn.timeSinceRead(time.Now()))
+			"begun_ago", p.now.Sub(call.Begun), "fresh", conn.callsWritten == 0, "carried", conn.callsWritten,
+			"rested", conn.timeSinceRead(time.Now()))
 	}
 	conn.callsWritten++
 	conn.statuses = conn.statuses[:0]
@@ -274,13 +285,18 @@
 	}
 	p.requestBuffer = http1.AppendRequest(p.requestBuffer[:0], "POST", "/events", call.Address, fields, call.Body.Len())
 	call.written, conn.waitUntil = true, time.Time{}
-	// An error is told by Closed, which knows from what was written whether the call can have run.
+	// Errors are reported through Closed, which sees from the bytes written whether the call can have run.
 	conn.socket.Write(call.Body.AppendTo(p.requestBuffer))
 	conn.stateSince, conn.writtenAt = p.now, time.Now()
 }
 
-func (p *Pool) finishWithResult(call *Call, result rules.Result) { p.finish(call, rules.TripEnded{Result: result}) }
+// finishWithResult ends a call with an outcome that consists of a result only.
+func (p *Pool) finishWithResult(call *Call, result rules.Result) {
+	p.finish(call, rules.TripEnded{Result: result})
+}
 
+// finish ends a call: it is no longer outstanding, and Ended returns its outcome. A call that has ended already is
+// ignored.
 func (p *Pool) finish(call *Call, outcome rules.TripEnded) {
 	if p.outstanding[call.Notice] != call {
 		return
@@ -297,9 +313,11 @@
 	p.ended = append(p.ended, outcome)
 }
 
-// CallOff gives a call up. One that was not written yet cannot have run.
+// CallOff cancels a call. A call that was not written yet cannot have run, and ends as not connected.
 func (p *Pool) CallOff(notice rules.NoticeID) { p.abandon(p.outstanding[notice], rules.Cancelled) }
 
+// abandon ends a call before its response is complete. result is its outcome unless the call was not written, or its
+// response has begun with status 200.
 func (p *Pool) abandon(call *Call, result rules.Result) {
 	if call == nil {
 		return
@@ -312,7 +330,7 @@
 			return
 		}
 	} else if conn.parser.Status() == 200 {
-		p.stopSending(conn, "call given up within a good answer")
+		p.stopSending(conn, "call abandoned within a response of status 200")
 		p.finish(call, truncatedSuccess(conn))
 		return
 	}
@@ -320,8 +338,8 @@
 	p.finishWithResult(call, result)
 }
 
-// goodAnswerCut is the outcome of a call of which the answer said 200 and did not come whole: on a connection that has carried calls
-// before that may be a part of another call's.
+// truncatedSuccess returns the outcome of a call whose response has status 200 but is incomplete. On a reused
+// connection the received part may belong to the response to another call.
 func truncatedSuccess(conn *connection) rules.TripEnded {
 	if conn.reused() {
 		return rules.TripEnded{Result: rules.Ambiguous, MayBeDelivered: true}
@@ -329,7 +347,8 @@
 	return rules.TripEnded{Result: rules.Handled}
 }
 
-// Expire gives up calls that are out too long, asks for those whose connections have settled, and returns when it is due again.
+// Expire abandons calls that have timed out, reports the calls whose connections have settled, and returns the time
+// at which it must be called again; zero: no call is outstanding that needs it.
 func (p *Pool) Expire() (next time.Time) {
 	for len(p.deadlines) > 0 && !p.deadlines[0].deadline.After(p.now) {
 		p.abandon(p.deadlines[0], rules.TimedOut)
@@ -343,7 +362,7 @@
 	return next
 }
 
-// Waiting tells whether there is something that was not handed over.
+// Waiting reports whether there is an outcome or another report that the owner has not collected yet.
 func (p *Pool) Waiting() bool {
 	return len(p.ended)+len(p.established)+len(p.requestedWaits)+len(p.confirmed)+len(p.retractions)+len(p.unsolicited) > 0
 }
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -20,27 +20,29 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// stage is a pool with a receiver of the test's own, which answers each call with the next text.
+// harness runs a Pool against a receiver that answers each call with the next of the given responses. It records
+// what the pool reports in a trace.
 type harness struct {
-	t        *testing.T
-	pool     *Pool
-	net      *sockets.Net
-	address  string
-	accepted chan net.Conn
-	responses  chan string
-	lastNotice    rules.NoticeID
-	trace    strings.Builder
-	waitToSettle    bool // calls wait for connections that settle
-	confirmAfter  time.Duration
+	t            *testing.T
+	pool         *Pool
+	net          *sockets.Net
+	address      string
+	accepted     chan net.Conn
+	responses    chan string
+	lastNotice   rules.NoticeID
+	trace        strings.Builder
+	waitToSettle bool // calls wait for idle connections that have not settled yet
+	confirmAfter time.Duration
 }
 
+// newHarness starts a receiver and a pool whose connections settle at once.
 func newHarness(t *testing.T) *harness {
 	receiver, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &harness{t: t, address: receiver.Addr().String(), accepted: make(chan net.Conn, 99), responses: make(chan string, 1),
-		confirmAfter: confirmTime}
+	s := &harness{t: t, address: receiver.Addr().String(), accepted: make(chan net.Conn, 99),
+		responses: make(chan string, 1), confirmAfter: confirmTime}
 	go func() {
 		for {
 			conn, err := receiver.Accept()
@@ -77,25 +79,27 @@
 	return s
 }
 
-// confirmTime is how long outcomes are unconfirmed on used connections.
+// confirmTime is how long outcomes on reused connections stay unconfirmed.
 const confirmTime = 100 * time.Millisecond
 
-// call makes a call and writes down what it came to, and what is left of its connection.
+// deliver makes a call, and adds its outcome and the state of its connection to the trace.
 func (s *harness) deliver(response string) {
 	s.lastNotice++
 	s.responses <- response
 	s.pool.At(time.Now())
-	s.pool.Send(&Call{Notice: s.lastNotice, Address: s.address, ID: fmt.Sprint(s.lastNotice), TimeOut: 400 * time.Millisecond})
+	s.pool.Send(&Call{Notice: s.lastNotice, Address: s.address, ID: fmt.Sprint(s.lastNotice),
+		TimeOut: 400 * time.Millisecond})
 	for s.pool.Out() > 0 {
 		s.turn()
 	}
 	first, _, _ := strings.Cut(response, "\r\n")
 	for _, ended := range s.pool.Ended() {
-		fmt.Fprintf(&s.trace, "%d %.24q: result %d, wait %.0f, told %v, over %v, %d connections, %d idle\n", ended.Notice, first, ended.Result,
-			ended.Wait, ended.LimitTold, ended.Over, len(s.accepted), len(s.pool.idle[0]))
+		fmt.Fprintf(&s.trace, "%d %.24q: result %d, wait %.0f, load report %v, over %v, %d connections, %d idle\n",
+			ended.Notice, first, ended.Result, ended.Wait, ended.LimitTold, ended.Over, len(s.accepted), len(s.pool.idle[0]))
 	}
 }
 
+// turn runs one turn of the loop that owns a Pool.
 func (s *harness) turn() {
 	time.Sleep(time.Millisecond)
 	s.pool.At(time.Now())
@@ -107,6 +111,7 @@
 	s.pool.Sweep()
 }
 
+// checkTrace compares the trace with the expected one.
 func (s *harness) checkTrace(want string) {
 	s.t.Helper()
 	if diff := cmp.Diff(strings.TrimSpace(want), strings.TrimSpace(s.trace.String())); diff != "" {
@@ -114,29 +119,31 @@
 	}
 }
 
+// shortBody is the end of a response, from its Content-Length header on.
 const shortBody = "Content-Length: 2\r\n\r\nok"
 
-// A kept connection that has ended since the last turn, or that said something unasked, is not used: the call would
-// fail for nothing, or be taken to have an answer that is not its own.
+// An idle connection that was closed since the last turn, or on which unsolicited bytes arrived, is not used: the
+// call would fail without need, or be recorded with a response that is not its own.
 func TestNotQuietWhileIdle(t *testing.T) {
 	s := newHarness(t)
 	s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
 	s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
 	(<-s.accepted).Close()
-	time.Sleep(100 * time.Millisecond) // ended, and not gathered yet
+	time.Sleep(100 * time.Millisecond) // closed, but the pool has not read that yet
 	s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
 	io.WriteString(<-s.accepted, "HTTP/1.1 200 Unasked\r\n"+shortBody)
-	time.Sleep(100 * time.Millisecond) // come, and not gathered yet
+	time.Sleep(100 * time.Millisecond) // received, but the pool has not read it yet
 	s.deliver("HTTP/1.1 503 Full\r\n" + shortBody)
 	s.checkTrace(`
-1 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 1 connections, 1 idle
-2 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 1 connections, 1 idle
-3 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 1 connections, 1 idle
-4 "HTTP/1.1 503 Full": result 2, wait 0, told false, over false, 1 connections, 1 idle
+1 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
+2 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
+3 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
+4 "HTTP/1.1 503 Full": result 2, wait 0, load report false, over false, 1 connections, 1 idle
 `)
 }
 
-// Of an answer that can't be read only a first line of 200 holds; what it claims not to have run may have run.
+// Of a malformed response only a status of 200 counts. With any other status, even one that says that the call did
+// not run, it may have run.
 func TestMalformedResponses(t *testing.T) {
 	s := newHarness(t)
 	endless := strings.Repeat("A: b\r\n", 3000)
@@ -165,7 +172,7 @@
 	} {
 		s.deliver("HTTP/1.1 " + response)
 		for i := 0; i < 300 && len(s.pool.connections) > len(s.pool.idle[0]); i++ {
-			s.turn() // a body that does not come is waited for
+			s.turn() // a body that does not arrive is waited for
 		}
 		s.pool.LetGo(0)
 		if len(s.pool.connections) > 0 {
@@ -173,32 +180,32 @@
 		}
 	}
 	s.checkTrace(`
-1 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 1 connections, 1 idle
-2 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 2 connections, 0 idle
-3 "HTTP/1.1 503 Full": result 2, wait 0, told false, over false, 3 connections, 0 idle
-4 "HTTP/1.1 100 Continue": result 2, wait 500, told true, over false, 4 connections, 1 idle
-5 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 5 connections, 0 idle
-6 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 6 connections, 0 idle
-7 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 7 connections, 0 idle
-8 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 8 connections, 0 idle
-9 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 9 connections, 0 idle
-10 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 10 connections, 0 idle
-11 "HTTP/1.1 200 OK": result 0, wait 0, told false, over true, 11 connections, 0 idle
-12 "HTTP/1.1 OK 200": result 5, wait 0, told false, over false, 12 connections, 0 idle
-13 "HTTP/1.1 2x0 OK": result 5, wait 0, told false, over false, 13 connections, 0 idle
-14 "HTTP/1.1 200": result 3, wait 0, told false, over false, 14 connections, 0 idle
-15 "HTTP/1.1 503 Full": result 5, wait 0, told false, over false, 15 connections, 0 idle
-16 "HTTP/1.1 503 Full": result 5, wait 0, told false, over false, 16 connections, 0 idle
-17 "HTTP/1.1 503 Full": result 5, wait 0, told false, over false, 17 connections, 0 idle
-18 "HTTP/1.1 504 Used up": result 5, wait 0, told false, over false, 18 connections, 0 idle
-19 "HTTP/1.1 429 Wait": result 5, wait 500, told false, over false, 19 connections, 0 idle
-20 "HTTP/1.1 410 Over": result 3, wait 0, told false, over false, 20 connections, 0 idle
-21 "HTTP/1.1 101 Switching": result 5, wait 0, told false, over false, 21 connections, 0 idle
+1 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
+2 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 2 connections, 0 idle
+3 "HTTP/1.1 503 Full": result 2, wait 0, load report false, over false, 3 connections, 0 idle
+4 "HTTP/1.1 100 Continue": result 2, wait 500, load report true, over false, 4 connections, 1 idle
+5 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 5 connections, 0 idle
+6 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 6 connections, 0 idle
+7 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 7 connections, 0 idle
+8 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 8 connections, 0 idle
+9 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 9 connections, 0 idle
+10 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 10 connections, 0 idle
+11 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 11 connections, 0 idle
+12 "HTTP/1.1 OK 200": result 5, wait 0, load report false, over false, 12 connections, 0 idle
+13 "HTTP/1.1 2x0 OK": result 5, wait 0, load report false, over false, 13 connections, 0 idle
+14 "HTTP/1.1 200": result 3, wait 0, load report false, over false, 14 connections, 0 idle
+15 "HTTP/1.1 503 Full": result 5, wait 0, load report false, over false, 15 connections, 0 idle
+16 "HTTP/1.1 503 Full": result 5, wait 0, load report false, over false, 16 connections, 0 idle
+17 "HTTP/1.1 503 Full": result 5, wait 0, load report false, over false, 17 connections, 0 idle
+18 "HTTP/1.1 504 Used up": result 5, wait 0, load report false, over false, 18 connections, 0 idle
+19 "HTTP/1.1 429 Wait": result 5, wait 500, load report false, over false, 19 connections, 0 idle
+20 "HTTP/1.1 410 Over": result 3, wait 0, load report false, over false, 20 connections, 0 idle
+21 "HTTP/1.1 101 Switching": result 5, wait 0, load report false, over false, 21 connections, 0 idle
 `)
 }
 
-// A process that stood still while a connection came up does not write the call any more: what the decisions were told
-// since then may bar it.
+// If the process was paused while a connection was being established, the call is not written any more: what the
+// rules have been told since it was started may forbid it.
 func TestConnectionEstablishedTooLate(t *testing.T) {
 	s := newHarness(t)
 	now := time.Now()
@@ -210,11 +217,12 @@
 	s.net.Gather()
 	ended := s.pool.Ended()
 	if len(ended) != 1 || ended[0].Result != rules.NotConnected || s.pool.Out() > 0 {
-		t.Errorf("ended: %+v", ended)
+		t.Errorf("unexpected outcomes or calls still outstanding: ended %+v", ended)
 	}
 }
 
-// A process that stood still keeps a call back while an answer of the same destination, which may tell to wait, is unread.
+// After a pause of the process, a call is recalled while a response of the same destination, which may request a
+// wait, is unread.
 func TestUnreadResponseHoldsBackCallsAfterProcessPause(t *testing.T) {
 	s := newHarness(t)
 	now := time.Now()
@@ -224,17 +232,17 @@
 		s.turn()
 	}
 	s.responses <- "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 2\r\n" + shortBody
-	time.Sleep(50 * time.Millisecond) // the answer has come, and nobody has gathered it
+	time.Sleep(50 * time.Millisecond) // the response has arrived, but the pool has not read it
 	s.pool.Begin(time.Now())
 	s.pool.Send(&Call{Notice: 2, Address: s.address, ID: "2", TimeOut: time.Minute})
 	s.pool.Send(&Call{Notice: 3, Destination: 7, Address: s.address, ID: "3", TimeOut: time.Minute})
 	if ended := s.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.Recalled {
-		t.Errorf("ended: %+v", ended)
+		t.Errorf("unexpected outcomes or calls still outstanding: ended %+v", ended)
 	}
 }
 
-// What can't be sent for want of a connection, or of room in the ledger, is told as a shortage of ours; an idle
-// connection makes room first.
+// A call that can't be sent because connections or space in the ledger have run out ends as a local shortage. An
+// idle connection is closed first to make space.
 func TestShortages(t *testing.T) {
 	s := newHarness(t)
 	s.pool.limits.Receivers = 1
@@ -242,7 +250,7 @@
 	s.pool.Send(&Call{Notice: 1, Receiver: 1, Address: s.address, ID: "1", TimeOut: time.Minute})
 	s.pool.Send(&Call{Notice: 2, Receiver: 2, Address: s.address, ID: "2", TimeOut: time.Minute})
 	if ended := s.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.Short {
-		t.Errorf("ended: %+v", ended)
+		t.Errorf("unexpected outcomes or calls still outstanding: ended %+v", ended)
 	}
 	s.responses <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for s.pool.Out() > 0 {
@@ -251,21 +259,21 @@
 	s.pool.Ended()
 	s.pool.Send(&Call{Notice: 3, Receiver: 2, Address: s.address, ID: "3", TimeOut: time.Minute})
 	if ended := s.pool.Ended(); len(ended) != 0 || s.pool.Out() != 1 {
-		t.Errorf("with an idle connection: %+v", ended)
+		t.Errorf("with an idle connection to close: ended %+v", ended)
 	}
 	s.pool.hooks.Record = func(*Call) error { return fmt.Errorf("the ledger is full") }
 	for s.pool.Out() > 0 {
 		s.turn()
 	}
 	if ended := s.pool.Ended(); len(ended) != 1 || ended[0].Result != rules.Short {
-		t.Errorf("ledger refuses: %+v", ended)
+		t.Errorf("ledger full: ended %+v", ended)
 	}
 	for _, err := range []error{syscall.EMFILE, syscall.EADDRNOTAVAIL} {
 		if !localShortage(&net.OpError{Err: os.NewSyscallError("socket", err)}) {
-			t.Errorf("%v is not told as ours", err)
+			t.Errorf("%v is not reported as a local shortage", err)
 		}
 	}
 	if localShortage(&net.OpError{Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}) {
-		t.Error("a refused connection is told as ours")
+		t.Error("a refused connection is reported as a local shortage")
 	}
 }
--- a/internal/calls/connections.go
+++ b/internal/calls/connections.go
@@ -11,9 +11,11 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// The connections to receivers, from their coming up to their end.
+// This file follows connections from their opening to their close.
 
-// closeOldest makes room for a connection: one that is of no more use, else an idle one, else one whose last outcomes are not confirmed.
+// closeOldest closes one connection to make space for another and reports whether it did. It prefers a connection
+// that sends no more calls and awaits no late response, then an idle one, then one that still awaits a late
+// response, whose unconfirmed outcomes may be retracted thereby.
 func (p *Pool) closeOldest() bool {
 	expendable := func(conn *connection) bool { return conn.receiveOnly || conn.retired }
 	oldest := p.oldest(func(conn *connection) bool { return expendable(conn) && !p.awaitsLateResponse(conn) })
@@ -24,12 +26,12 @@
 		oldest = p.oldest(expendable)
 	}
 	if oldest != nil {
-		p.drop(oldest, "room for another connection")
+		p.drop(oldest, "closed to make space for another connection")
 	}
 	return oldest != nil
 }
 
-// oldest is that of some connections which has been as it is for the longest, or nil.
+// oldest returns the matching connection that has been in its current state for the longest time, or nil.
 func (p *Pool) oldest(match func(*connection) bool) *connection {
 	var oldest *connection
 	for _, conn := range p.connections {
@@ -40,7 +42,7 @@
 	return oldest
 }
 
-// oldestIdle is the connection that has been idle for the longest, or nil.
+// oldestIdle returns the connection that has been idle for the longest time, or nil.
 func (p *Pool) oldestIdle() *connection {
 	var oldest *connection
 	for _, idle := range p.idle {
@@ -51,28 +53,29 @@
 	return oldest
 }
 
-// Opened asks whether the call that waited for its connection may still leave.
+// Opened marks a connection as established, and reports through Up that its call is ready to be written. The
+// sockets package calls it.
 func (p *Pool) Opened(socket *sockets.Conn) {
 	conn := p.connections[socket]
 	if conn == nil {
 		return
 	}
-	// A process that stood still finds connections that came up long ago.
+	// After a pause of the process, the connection may have been established long ago.
 	if call := conn.call; call != nil && p.now.Sub(conn.stateSince) > p.limits.ConnectTime {
-		p.drop(conn, "came up too late")
+		p.drop(conn, "established too late")
 		p.finishWithResult(call, rules.NotConnected)
 		return
 	}
 	conn.established = true
 	p.connectTimes[conn.receiver] = p.now.Sub(conn.stateSince)
 	if p.tracing {
-		p.log.Debug(logs.Connected, "connection", conn.number, "notice", conn.noticeID(), "receiver", conn.receiver, "local", socket.Local(),
-			"took", p.now.Sub(conn.stateSince))
+		p.log.Debug(logs.Connected, "connection", conn.number, "notice", conn.noticeID(), "receiver", conn.receiver,
+			"local", socket.Local(), "took", p.now.Sub(conn.stateSince))
 	}
 	p.established = append(p.established, rules.ConnectionUp{Notice: conn.call.Notice})
 }
 
-// Closed ends a connection from outside.
+// Closed handles a connection that the receiver closed, or that failed with err. The sockets package calls it.
 func (p *Pool) Closed(socket *sockets.Conn, err error) {
 	conn := p.connections[socket]
 	if conn == nil {
@@ -85,7 +88,7 @@
 	}
 	if call != nil && !call.written && conn.callsWritten > 0 {
 		conn.call = nil
-		p.drop(conn, "ended while it settled")
+		p.drop(conn, "closed while a call waited for it to settle")
 		p.connect(call)
 		return
 	}
@@ -101,8 +104,8 @@
 	p.connectionFailed(conn, reason)
 }
 
-// localShortage tells a connection that did not come up for want of something of this machine's from one that the receiver, or
-// the way there, did not let up.
+// localShortage reports whether a connection could not be opened because this machine is short of file descriptors,
+// ports, buffers or memory, as opposed to a failure of the receiver or of the network.
 func localShortage(err error) bool {
 	for _, shortage := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, shortage) {
@@ -112,8 +115,9 @@
 	return false
 }
 
-// connectionFailed ends a call whose connection ended or went wrong. Of an answer that can't be read to its end only a first
-// line of 200 holds: whatever else it claims, the call may have run. A wait that it tells is kept all the same.
+// connectionFailed closes a connection that ended or sent a malformed response, and ends its call. Of an incomplete
+// or malformed response only a status of 200 counts: with any other status the call may have run. A wait that a
+// status of 429 or 503 requests is still followed.
 func (p *Pool) connectionFailed(conn *connection, reason string) {
 	call, status, begun := conn.call, conn.parser.Status(), conn.parser.Begun()
 	outcome := rules.TripEnded{Result: rules.Reset}
@@ -135,8 +139,10 @@
 	}
 }
 
-// stopSending ends the sending side of a connection whose call is given up, which tells the receiver. What the receiver
-// has answered by then is heard for a short while, for the sake of a wait.
+// stopSending closes the sending side of a connection whose call is abandoned, so that the receiver notices. A
+// response that is already on its way is still read for limits.RestTime, as it may request a wait. The connection
+// is closed at once if the request was not sent whole, or if the response has reported its wait or status 200
+// already.
 func (p *Pool) stopSending(conn *connection, reason string) {
 	responseKnown := !conn.waitUntil.IsZero() || conn.parser.Status() == 200
 	if conn.call.written && conn.socket.Written() && !responseKnown {
@@ -148,14 +154,14 @@
 	conn.call = nil
 }
 
-// LetGo closes the idle connections to a receiver.
+// LetGo closes the idle connections to a receiver. Those that may still receive a late response are retired instead.
 func (p *Pool) LetGo(receiver rules.ReceiverID) {
 	for _, conn := range append([]*connection(nil), p.idle[receiver]...) {
-		p.closeOrRetire(conn, "let go")
+		p.closeOrRetire(conn, "idle connections closed on request")
 	}
 }
 
-// Forget ends the connections to a receiver that is listed no more; a call that is out comes to its end first.
+// Forget closes the connections to a receiver that is no longer listed. Outstanding calls are finished first.
 func (p *Pool) Forget(receiver rules.ReceiverID) {
 	p.LetGo(receiver)
 	delete(p.connectTimes, receiver)
@@ -166,10 +172,11 @@
 	}
 }
 
-// unsure tells whether the answer to the call of a connection may be another's: it has carried calls before.
+// reused reports whether the connection has carried more than one call, so that the response to the last one may
+// belong to an earlier call.
 func (conn *connection) reused() bool { return conn.callsWritten > 1 }
 
-// quiet is how long nothing has been heard on a connection; 0 if nothing ever was.
+// timeSinceRead returns the time since the last bytes were received on a connection; 0 if none ever were.
 func (conn *connection) timeSinceRead(now time.Time) time.Duration {
 	if conn.lastRead.IsZero() {
 		return 0
@@ -177,7 +184,7 @@
 	return now.Sub(conn.lastRead)
 }
 
-// notice is the notice of the call that a connection carries, or 0.
+// noticeID returns the notice of the call that a connection carries, or 0.
 func (conn *connection) noticeID() rules.NoticeID {
 	if conn.call == nil {
 		return 0
@@ -185,9 +192,12 @@
 	return conn.call.Notice
 }
 
+// drop closes a connection, removes it from the pool, and confirms or retracts its unconfirmed outcomes. It does
+// not end its call.
 func (p *Pool) drop(conn *connection, reason string) {
 	if p.tracing {
-		p.log.Debug(logs.Disconnected, "connection", conn.number, "notice", conn.noticeID(), "receiver", conn.receiver, "why", reason, "connected", conn.established)
+		p.log.Debug(logs.Disconnected, "connection", conn.number, "notice", conn.noticeID(), "receiver", conn.receiver,
+			"why", reason, "connected", conn.established)
 	}
 	conn.socket.Close()
 	conn.parser.Free()
@@ -196,6 +206,7 @@
 	p.removeIdle(conn)
 }
 
+// removeIdle removes a connection from the idle ones, if it is among them.
 func (p *Pool) removeIdle(conn *connection) {
 	idle := p.idle[conn.receiver]
 	if i := slices.Index(idle, conn); i >= 0 {
@@ -206,14 +217,14 @@
 	}
 }
 
-// Sweep closes connections that have stood idle too long, before their receivers would, and those on which an
-// answer's body does not end.
+// Sweep confirms outcomes that are due. It closes connections that have been idle too long, before their receivers
+// would close them, and connections on which the rest of a response did not arrive within limits.RestTime.
 func (p *Pool) Sweep() {
 	for _, conn := range p.connections {
 		p.confirmDue(conn)
 		if (conn.readingBody || conn.receiveOnly) && p.now.Sub(conn.stateSince) > p.limits.RestTime && !p.awaitsLateResponse(conn) {
 			p.retractTruncated(conn)
-			p.drop(conn, "answer does not end")
+			p.drop(conn, "response incomplete after the time allowed for its rest")
 		} else if conn.retired && !p.awaitsLateResponse(conn) && p.now.Sub(conn.lastRead) > p.limits.RestTime {
 			p.drop(conn, "retired")
 		}
--- a/internal/calls/deadlines.go
+++ b/internal/calls/deadlines.go
@@ -1,8 +1,7 @@
 package calls
 
-// The calls out, ordered by the end of their time-outs.
-
-// byDeadline is a heap of calls by the end of their time-outs.
+// byDeadline is a heap of outstanding calls, the one with the earliest deadline first. It implements
+// heap.Interface, and keeps the heapIndex of each call.
 type byDeadline []*Call
 
 func (h byDeadline) Len() int { return len(h) }
--- a/internal/calls/retry_after.go
+++ b/internal/calls/retry_after.go
@@ -10,11 +10,12 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// longestWait is what a wait is cut to, in seconds: some eleven days.
+// maxWaitSeconds is the upper bound of a requested wait: about eleven days.
 const maxWaitSeconds = 1e6
 
-// retryAfter is the time for which an answer asks not to be called, by its Retry-After fields: seconds, decimals allowed, or
-// a date by the wall clock. Of several the longest holds; 0: none, or none that can be read.
+// retryAfter returns the wait that the Retry-After headers of a response request. A header holds seconds, with
+// decimals allowed, or an HTTP date, which is compared with now. The longest of several applies. The result is 0 if
+// there is none that can be parsed.
 func retryAfter(message *http1.Message, now time.Time) rules.Millis {
 	longest := 0.0
 	for _, field := range message.Fields {
@@ -25,6 +26,8 @@
 	return rules.Millis(min(longest, maxWaitSeconds) * 1000)
 }
 
+// parseRetryAfter returns the wait in seconds that the value of one Retry-After header requests; 0 if it can't be
+// parsed. A date in the past gives a negative number.
 func parseRetryAfter(text string, now time.Time) float64 {
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil || math.IsInf(seconds, 1) {
 		if math.IsNaN(seconds) {
--- a/internal/calls/retry_after_test.go
+++ b/internal/calls/retry_after_test.go
@@ -9,6 +9,7 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
+// Retry-After holds seconds or an HTTP date, may be repeated, and may be unusable.
 func TestRetryAfterForms(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	for _, c := range []struct {
@@ -25,7 +26,7 @@
 			m.Fields = append(m.Fields, http1.Field{Name: "retry-after", Value: value})
 		}
 		if got := retryAfter(m, now); got != c.want {
-			t.Errorf("%q: %.0f ms, want %.0f", c.values, got, c.want)
+			t.Errorf("Retry-After %q: wait of %.0f ms, want %.0f ms", c.values, got, c.want)
 		}
 	}
 }
--- a/internal/calls/settling.go
+++ b/internal/calls/settling.go
@@ -8,95 +8,99 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Connections that settle: after an answer a connection stays unused for a while, in which bytes that no call has asked for show
-// that an answer was booked on a call that it did not belong to.
+// This file lets connections settle: after a response a connection stays unused for limits.SettleTime. Unsolicited
+// bytes that arrive in that time show that a response was recorded for a call that it did not belong to.
 
-// exchange is a call that was answered on a connection that had carried calls before, so that its answer may be another's.
+// exchange is an answered call on a reused connection, whose response may belong to another call.
 type exchange struct {
-	notice  rules.NoticeID
-	trip    int
-	id      string
-	status  int       // that it was booked with
-	deadline     time.Time // its true answer comes no later
-	writtenAt time.Time
-	readAt   time.Time     // when that was
-	confirmAfter time.Duration // how long behind it the true answer would have come
-	state   exchangeState
+	notice       rules.NoticeID
+	trip         int
+	id           string
+	status       int           // of the response that was recorded for it
+	deadline     time.Time     // of the call; its correct response comes no later
+	writtenAt    time.Time     // when the request was written
+	readAt       time.Time     // when the response was received
+	confirmAfter time.Duration // how long after readAt the correct response would have arrived
+	state        exchangeState
 }
 
-// exchangeState is what is known of an exchange's outcome.
+// exchangeState says whether the outcome of an exchange is known to be correct.
 type exchangeState uint8
 
 const (
 	unconfirmed exchangeState = iota
 	confirmed
 	retracted
-	mayHaveRun // the outcome said no more than that: there is nothing to take back
+	mayHaveRun // the outcome claims no more than this, so there is nothing to retract
 )
 
+// anyExchange matches every exchange.
 func anyExchange(exchange) bool { return true }
 
+// isUnconfirmed matches the exchanges whose outcome is neither confirmed nor retracted.
 func isUnconfirmed(ex exchange) bool { return ex.state == unconfirmed }
 
-// Confirmation is a trip of which the unconfirmed outcome holds.
+// Confirmation names a trip whose unconfirmed outcome has proved correct.
 type Confirmation struct {
 	Notice rules.NoticeID
 	Trip   int
 }
 
-// Doubt is a call whose outcome was told although its answer may have been another call's.
+// Doubt is a retracted outcome: it was reported, but its response may have belonged to another call.
 type Doubt struct {
 	Notice   rules.NoticeID
 	Receiver rules.ReceiverID
-	ID       string // of the notice, as its client gave it
-	Written  time.Time
+	ID       string    // request id of the notice, as its client gave it
+	Written  time.Time // when the request was written
 }
 
-// statusUnknown is the status of an answer that did not come.
+// statusUnknown stands for the status of a response that was not received.
 const statusUnknown = 0
 
-// exchangesKept is how many answered calls a connection remembers, and more only while the first of them is unconfirmed.
+// maxExchanges is how many answered calls a connection keeps. It keeps more only while the oldest of them is
+// unconfirmed.
 const maxExchanges = 32
 
-// Confirmed hands over the trips whose unconfirmed outcomes hold, since the last time.
+// Confirmed returns the trips whose unconfirmed outcomes have proved correct since its last call.
 func (p *Pool) Confirmed() []Confirmation {
 	confirmed := p.confirmed
 	p.confirmed = nil
 	return confirmed
 }
 
-// Doubts hands over the calls whose outcomes are in doubt, since the last time.
+// Doubts returns the outcomes retracted since its last call.
 func (p *Pool) Doubts() []Doubt {
 	retractions := p.retractions
 	p.retractions = nil
 	return retractions
 }
 
-// Surplus hands over the receivers that sent more than they were asked for, since the last time.
+// Surplus returns the receivers that sent unsolicited bytes since its last call.
 func (p *Pool) Surplus() []rules.ReceiverID {
 	receivers := p.unsolicited
 	p.unsolicited = nil
 	return receivers
 }
 
-// remember notes an outcome that may be another call's.
+// recordExchange keeps an answered call whose response may belong to another call.
 func (conn *connection) recordExchange(call *Call, status int, confirm time.Duration, state exchangeState) {
 	if len(conn.exchanges) >= maxExchanges && conn.exchanges[0].state != unconfirmed {
 		conn.exchanges = slices.Delete(conn.exchanges, 0, 1)
 	}
-	conn.exchanges = append(conn.exchanges, exchange{notice: call.Notice, trip: call.Trip, id: call.ID, status: status, deadline: call.deadline, writtenAt: conn.writtenAt,
+	conn.exchanges = append(conn.exchanges, exchange{notice: call.Notice, trip: call.Trip, id: call.ID, status: status,
+		deadline: call.deadline, writtenAt: conn.writtenAt,
 		readAt: conn.lastRead, confirmAfter: confirm, state: state})
 }
 
-// settle lets a connection settle behind an answer.
+// settle starts the time for which a connection stays unused after a response.
 func (p *Pool) settle(conn *connection) {
 	conn.settledAt = conn.lastRead.Add(p.limits.SettleTime)
 }
 
-// settled tells whether a connection has settled, as far as its time goes.
+// settled reports whether the settling time of a connection is over. Bytes may have arrived that were not read yet.
 func (p *Pool) settled(conn *connection) bool { return !p.now.Before(conn.settledAt) }
 
-// waitToSettle lets a call wait for an idle connection that still settles.
+// waitToSettle assigns a call to an idle connection, to be written once that has settled.
 func (p *Pool) waitToSettle(conn *connection, call *Call) {
 	p.removeIdle(conn)
 	conn.call, call.connection = call, conn
@@ -105,8 +109,8 @@
 	}
 }
 
-// stepWaiting asks whether calls may leave whose connections have settled, and returns when the next one will. What has come on a
-// connection and was not heard yet is waited for.
+// releaseSettled reports through Up the calls whose connections have settled, and returns when the next one
+// settles. A connection with unread bytes is looked at again after limits.Unheard, when they have been read.
 func (p *Pool) releaseSettled() (next time.Time) {
 	p.settling = slices.DeleteFunc(p.settling, func(conn *connection) bool {
 		switch {
@@ -126,19 +130,19 @@
 	return next
 }
 
-// overdue tells whether the true answer to an unconfirmed call would have come by now.
+// confirmationDue reports whether an exchange is unconfirmed and its correct response would have arrived by now.
 func (p *Pool) confirmationDue(ex exchange) bool {
 	return ex.state == unconfirmed && p.now.Sub(ex.readAt) >= ex.confirmAfter
 }
 
-// confirmOld lets outcomes of a connection hold of which the true answers would have come by now.
+// confirmDue confirms the outcomes of a connection whose correct responses would have arrived by now.
 func (p *Pool) confirmDue(conn *connection) {
 	if !conn.readingBody && slices.ContainsFunc(conn.exchanges, p.confirmationDue) && conn.socket.Quiet() {
 		p.confirm(conn, p.confirmationDue)
 	}
 }
 
-// confirm lets outcomes of a connection hold.
+// confirm confirms the unconfirmed outcomes of a connection that match accepts.
 func (p *Pool) confirm(conn *connection, match func(exchange) bool) {
 	for i := range conn.exchanges {
 		if ex := &conn.exchanges[i]; ex.state == unconfirmed && match(*ex) {
@@ -148,13 +152,14 @@
 	}
 }
 
-// awaited tells whether the true answer to a call may still come on a connection.
+// awaitsLateResponse reports whether the correct response to an answered call may still arrive on a connection.
 func (p *Pool) awaitsLateResponse(conn *connection) bool {
 	return slices.ContainsFunc(conn.exchanges, func(ex exchange) bool { return p.now.Sub(ex.readAt) < ex.confirmAfter })
 }
 
-// doubt takes outcomes back that don't hold if an answer with another status was the true one to the last call, and so the answer to each
-// call before was booked on the call behind it. Of these it takes back which are told.
+// retractShifted retracts the outcomes that are wrong if a response with status laterStatus was the correct one to
+// the last call, and the response to each earlier call was recorded for the call after it. Exchanges that match
+// rejects, that have the same status either way, or whose deadline has passed are not retracted.
 func (p *Pool) retractShifted(conn *connection, laterStatus int, match func(exchange) bool) {
 	for i := len(conn.exchanges) - 1; i >= 0; i-- {
 		ex := &conn.exchanges[i]
@@ -165,7 +170,7 @@
 	}
 }
 
-// takeBack puts an outcome in doubt.
+// retract retracts an outcome that is unconfirmed or confirmed; others stay as they are.
 func (p *Pool) retract(conn *connection, ex *exchange) {
 	if ex.state == unconfirmed || ex.state == confirmed {
 		ex.state = retracted
@@ -173,37 +178,41 @@
 	}
 }
 
-// doubtEnded takes unconfirmed outcomes back whose connection ends: the true answer to the last call may have been on its way, and that to
-// a call before may have been booked on the call behind it.
+// retractOnClose retracts unconfirmed outcomes of a connection that is closed, and confirms the rest. The correct
+// response to the last call may have been on its way, and the response to an earlier call may have been recorded
+// for the call after it.
 func (p *Pool) retractOnClose(conn *connection) {
 	p.confirm(conn, p.confirmationDue)
 	p.retractShifted(conn, statusUnknown, isUnconfirmed)
 	p.confirm(conn, anyExchange)
 }
 
-// doubtCut takes back what the head of an answer has told that did not come whole: it may be a part of an earlier call's.
+// retractTruncated retracts an outcome taken from the head of a response that did not arrive completely: the head
+// may belong to the response to an earlier call.
 func (p *Pool) retractTruncated(conn *connection) {
 	if conn.readingBody && conn.reused() && len(conn.exchanges) > 0 {
 		p.retract(conn, &conn.exchanges[len(conn.exchanges)-1])
 	}
 }
 
-// surplusShown is how many bytes of what came unasked the log shows.
+// maxLoggedBytes is how many of the first unsolicited bytes the log shows.
 const maxLoggedBytes = 16
 
-// surplusCame notes that a connection said something that no call had asked for, after it was quiet for a while.
+// reportUnsolicited counts and logs bytes that no call had asked for. Nothing had been received for the time
+// silence before them.
 func (p *Pool) reportUnsolicited(conn *connection, silence time.Duration, data []byte) {
 	p.Unasked++
 	p.unsolicited = append(p.unsolicited, conn.receiver)
-	p.log.Warn(logs.Unasked, "connection", conn.number, "receiver", conn.receiver, "last", conn.lastNotice, "carried", conn.callsWritten, "quiet", silence,
-		"bytes", len(data), "begins", string(data[:min(len(data), maxLoggedBytes)]))
+	p.log.Warn(logs.Unasked, "connection", conn.number, "receiver", conn.receiver, "last", conn.lastNotice,
+		"carried", conn.callsWritten, "quiet", silence, "bytes", len(data), "begins", string(data[:min(len(data), maxLoggedBytes)]))
 }
 
-// hearSurplus ends the use of a connection on which something came unasked. Where that may be the true answer to a call whose
-// booked one was another's, it is heard for as long as that may come.
+// handleUnsolicited stops using a connection on which unsolicited bytes arrived. A reused connection stays open for
+// as long as they may be the correct response to a call that was recorded with the response to another one; a new
+// one is closed.
 func (p *Pool) handleUnsolicited(conn *connection, data []byte) {
 	if conn.callsWritten <= 1 {
-		p.drop(conn, "said something unasked")
+		p.drop(conn, "received unsolicited bytes")
 		return
 	}
 	p.removeIdle(conn)
@@ -211,13 +220,13 @@
 	p.readLate(conn, data)
 }
 
-// retire keeps a connection from being used again; what still comes on it is heard for a while.
+// retire keeps a connection from being used again. Bytes that still arrive on it are read until it is closed.
 func (p *Pool) retire(conn *connection) {
 	p.removeIdle(conn)
 	conn.retired = true
 }
 
-// letGo closes an idle connection, once its outcomes are confirmed.
+// closeOrRetire closes an idle connection, or retires it if a late response may still arrive on it.
 func (p *Pool) closeOrRetire(conn *connection, reason string) {
 	if p.awaitsLateResponse(conn) {
 		p.retire(conn)
@@ -226,17 +235,19 @@
 	}
 }
 
-// unassign takes a call that was not written from the connection that it waits for.
+// unassign frees a connection from a call that was not written. It becomes idle again unless its receiver is no
+// longer listed.
 func (p *Pool) unassign(conn *connection) {
 	conn.call, conn.stateSince = nil, p.now
 	if conn.delisted {
-		p.closeOrRetire(conn, "the receiver is gone")
+		p.closeOrRetire(conn, "receiver no longer listed")
 	} else {
 		p.idle[conn.receiver] = append(p.idle[conn.receiver], conn)
 	}
 }
 
-// usable is an idle connection to a receiver that has settled and on which nothing has come, or nil.
+// takeSettledIdle takes the most recently used idle connection to a receiver that has settled and received nothing
+// since, or returns nil. Connections that have closed or received bytes are retired.
 func (p *Pool) takeSettledIdle(receiver rules.ReceiverID) *connection {
 	idle := p.idle[receiver]
 	for i := len(idle) - 1; i >= 0; i-- {
@@ -249,14 +260,15 @@
 			return conn
 		}
 		p.Stale++
-		p.retire(conn) // what has come, or its end, is told when it is gathered
+		p.retire(conn) // its bytes, or its end, are handled when the sockets are next read
 		idle = p.idle[receiver]
 		i = min(i, len(idle))
 	}
 	return nil
 }
 
-// nextSettled is the idle connection to a receiver that settles next and is worth waiting for, or nil.
+// nextToSettle returns the idle connection to a receiver that settles next, or nil if there is none or it is not
+// worth waiting for.
 func (p *Pool) nextToSettle(receiver rules.ReceiverID) *connection {
 	var earliest *connection
 	for _, conn := range p.idle[receiver] {
--- a/internal/calls/settling_test.go
+++ b/internal/calls/settling_test.go
@@ -13,10 +13,11 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// settleTime is how long connections settle behind an answer.
+// settleTime is how long connections stay unused after a response.
 const settleTime = 40 * time.Millisecond
 
-// scripted makes the stage's receiver one that a test answers for: each call that it reads is handed over with its connection.
+// newScriptedHarness returns a harness whose receiver leaves the responses to the test: it sends the connection of
+// each call that it has read to the channel.
 func newScriptedHarness(t *testing.T) (*harness, chan net.Conn) {
 	s := newHarness(t)
 	s.pool.limits.SettleTime = settleTime
@@ -48,7 +49,7 @@
 	return s, callsRead
 }
 
-// send begins a call.
+// send starts a call.
 func (s *harness) send() rules.NoticeID {
 	s.lastNotice++
 	s.pool.At(time.Now())
@@ -56,14 +57,14 @@
 	return s.lastNotice
 }
 
-// turns plays turns for a while.
+// runFor runs turns for a duration.
 func (s *harness) runFor(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		s.turn()
 	}
 }
 
-// readBy plays turns until the receiver has read a call, and returns its connection.
+// awaitCall runs turns until the receiver has read a call, and returns its connection.
 func (s *harness) awaitCall(callsRead chan net.Conn) net.Conn {
 	for {
 		select {
@@ -75,7 +76,7 @@
 	}
 }
 
-// used makes a connection that has carried a call and has settled.
+// reusedConnection returns a connection that has carried a call and has settled, so that the next call reuses it.
 func (s *harness) reusedConnection(callsRead chan net.Conn) net.Conn {
 	s.send()
 	conn := s.awaitCall(callsRead)
@@ -85,7 +86,7 @@
 	return conn
 }
 
-// answered makes a further call on a connection, and answers it.
+// respondOnReused makes a second call on a connection, and answers it.
 func (s *harness) respondOnReused(callsRead chan net.Conn, status int) net.Conn {
 	conn := s.reusedConnection(callsRead)
 	s.send()
@@ -94,11 +95,12 @@
 	return conn
 }
 
+// respond writes a response without a body.
 func respond(conn net.Conn, status int, headers string) {
 	fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), headers)
 }
 
-// tell writes down what the pool has to tell.
+// traceEvents adds what the pool reports to the trace, under a label.
 func (s *harness) traceEvents(label string) {
 	fmt.Fprintf(&s.trace, "%s:", label)
 	for _, ended := range s.pool.Ended() {
@@ -115,14 +117,16 @@
 		fmt.Fprintf(&s.trace, " %d confirmed,", c.Notice)
 	}
 	for _, d := range s.pool.Doubts() {
-		fmt.Fprintf(&s.trace, " %d doubted,", d.Notice)
+		fmt.Fprintf(&s.trace, " %d retracted,", d.Notice)
 	}
 	for _, w := range s.pool.Waits() {
 		fmt.Fprintf(&s.trace, " wait %.0f,", w.Wait)
 	}
-	fmt.Fprintf(&s.trace, " %d surplus\n", len(s.pool.Surplus()))
+	fmt.Fprintf(&s.trace, " %d unsolicited\n", len(s.pool.Surplus()))
 }
 
+// The outcome of a call on a reused connection is confirmed when no other response arrives within the confirmation
+// time.
 func TestOutcomeOnReusedConnectionIsConfirmedWhenNothingFollows(t *testing.T) {
 	s, callsRead := newScriptedHarness(t)
 	s.respondOnReused(callsRead, 503)
@@ -131,12 +135,14 @@
 	s.runFor(200 * time.Millisecond)
 	s.traceEvents("settled")
 	s.checkTrace(`
-first: 1 handled, 0 surplus
-answered: 2 full unconfirmed, 0 surplus
-settled: 2 confirmed, 0 surplus
+first: 1 handled, 0 unsolicited
+answered: 2 full unconfirmed, 0 unsolicited
+settled: 2 confirmed, 0 unsolicited
 `)
 }
 
+// A late duplicate of an earlier response is taken for the response to the second call. Its outcome is retracted
+// when the correct response, with another status, arrives.
 func TestOutcomeTakenFromLateDuplicateIsRetracted(t *testing.T) {
 	for _, c := range []struct{ copied, answer int }{{200, 503}, {503, 200}, {200, 500}} {
 		s, callsRead := newScriptedHarness(t)
@@ -150,10 +156,11 @@
 		if isRefusal(c.answer) {
 			wait = " wait 2000,"
 		}
-		s.checkTrace("first: 1 handled, 0 surplus\nthen: 2 doubted," + wait + " 1 surplus")
+		s.checkTrace("first: 1 handled, 0 unsolicited\nthen: 2 retracted," + wait + " 1 unsolicited")
 	}
 }
 
+// A duplicate response with the same status counts as unsolicited, but leaves the outcome correct.
 func TestDuplicateWithSameStatusRetractsNothing(t *testing.T) {
 	s, callsRead := newScriptedHarness(t)
 	conn := s.respondOnReused(callsRead, 200)
@@ -164,12 +171,14 @@
 	s.runFor(500 * time.Millisecond)
 	s.traceEvents("settled")
 	s.checkTrace(`
-first: 1 handled, 0 surplus
-twice: 2 handled unconfirmed, 1 surplus
-settled: 2 confirmed, 0 surplus
+first: 1 handled, 0 unsolicited
+twice: 2 handled unconfirmed, 1 unsolicited
+settled: 2 confirmed, 0 unsolicited
 `)
 }
 
+// When two responses with different statuses arrive together on a reused connection, either may belong to the call,
+// so its outcome is ambiguous.
 func TestDifferingResponsesReadTogetherAreAmbiguous(t *testing.T) {
 	s, callsRead := newScriptedHarness(t)
 	for _, text := range []string{
@@ -195,6 +204,8 @@
 	}
 }
 
+// A call assigned to an idle connection is written only when that has settled, and on a new connection if a
+// duplicate response arrives meanwhile.
 func TestCallWaitsUntilItsConnectionHasSettled(t *testing.T) {
 	s, callsRead := newScriptedHarness(t)
 	s.waitToSettle = true
@@ -208,10 +219,10 @@
 	s.traceEvents("first")
 	s.send()
 	if again := s.awaitCall(callsRead); again != conn {
-		t.Error("another connection was made")
+		t.Error("the second call was sent on another connection")
 	}
 	if waited := time.Since(answered); waited < settleTime-5*time.Millisecond {
-		t.Errorf("written %v behind an answer", waited)
+		t.Errorf("call written %v after a response, before the connection had settled", waited)
 	}
 	respond(conn, 200, "")
 	for s.pool.Out() > 0 {
@@ -219,10 +230,10 @@
 	}
 	s.traceEvents("second")
 	s.send()
-	respond(conn, 200, "") // a copy, while the third call waits
+	respond(conn, 200, "") // a duplicate response, while the third call waits
 	another := s.awaitCall(callsRead)
 	if another == conn {
-		t.Error("written on a connection on which a copy had come")
+		t.Error("the call was written on a connection on which a duplicate response had arrived")
 	}
 	respond(another, 200, "")
 	for s.pool.Out() > 0 {
@@ -230,12 +241,14 @@
 	}
 	s.traceEvents("third")
 	s.checkTrace(`
-first: 1 handled, 0 surplus
-second: 2 handled unconfirmed, 0 surplus
-third: 3 handled, 1 surplus
+first: 1 handled, 0 unsolicited
+second: 2 handled unconfirmed, 0 unsolicited
+third: 3 handled, 1 unsolicited
 `)
 }
 
+// Where calls don't wait for connections to settle, a new connection is opened instead of using one that has not
+// settled.
 func TestConnectionThatHasNotSettledIsNotUsed(t *testing.T) {
 	s, callsRead := newScriptedHarness(t)
 	s.send()
@@ -250,15 +263,17 @@
 	}
 }
 
+// Some servers send status 408 before they close an idle connection. That is not counted as unsolicited bytes.
 func TestIdleTimeoutResponseIsNotUnsolicited(t *testing.T) {
 	s, callsRead := newScriptedHarness(t)
 	conn := s.reusedConnection(callsRead)
 	respond(conn, 408, "")
 	s.runFor(20 * time.Millisecond)
-	s.traceEvents("told")
-	s.checkTrace("first: 1 handled, 0 surplus\ntold: 0 surplus")
+	s.traceEvents("408")
+	s.checkTrace("first: 1 handled, 0 unsolicited\n408: 0 unsolicited")
 }
 
+// The connection is reset before a success on it is confirmed: the correct response may have been lost.
 func TestSuccessIsRetractedWhenItsConnectionBreaks(t *testing.T) {
 	s, callsRead := newScriptedHarness(t)
 	conn := s.respondOnReused(callsRead, 200)
@@ -269,12 +284,14 @@
 	s.runFor(20 * time.Millisecond)
 	s.traceEvents("broken")
 	s.checkTrace(`
-first: 1 handled, 0 surplus
-answered: 2 handled unconfirmed, 0 surplus
-broken: 2 doubted, 0 surplus
+first: 1 handled, 0 unsolicited
+answered: 2 handled unconfirmed, 0 unsolicited
+broken: 2 retracted, 0 unsolicited
 `)
 }
 
+// A receiver may respond before it has read the whole body of a request. That response must not be taken for an
+// unsolicited one.
 func TestResponseDuringRequestWriteBelongsToThatCall(t *testing.T) {
 	s, callsRead := newScriptedHarness(t)
 	s.reusedConnection(callsRead)
@@ -294,6 +311,7 @@
 	}
 }
 
+// Every unconfirmed outcome is confirmed or retracted, even if more calls follow on a connection than maxExchanges.
 func TestEveryOutcomeIsConfirmedOrRetracted(t *testing.T) {
 	const count = 100
 	s := newHarness(t)
@@ -305,16 +323,19 @@
 	s.pool.At(time.Now().Add(2 * s.confirmAfter))
 	s.pool.Sweep()
 	if reported := len(s.pool.Confirmed()) + len(s.pool.Doubts()); reported != count-1 {
-		t.Errorf("%d of %d unconfirmed outcomes were told of", reported, count-1)
+		t.Errorf("%d of %d unconfirmed outcomes were confirmed or retracted", reported, count-1)
 	}
 }
 
+// The second call is recorded with a duplicate of the first response, and the third one times out. A late response
+// after that may be the correct one to the second call: with another status it retracts the outcome, with the same
+// status it confirms it.
 func TestLateResponseToAbandonedCallMayBelongToPreviousCall(t *testing.T) {
-	for status, outcomeBefore := range map[int]string{503: "2 doubted", 200: "2 confirmed"} {
+	for status, outcomeBefore := range map[int]string{503: "2 retracted", 200: "2 confirmed"} {
 		s, callsRead := newScriptedHarness(t)
-		conn := s.respondOnReused(callsRead, 200) // a copy
+		conn := s.respondOnReused(callsRead, 200) // a duplicate of the first response
 		s.runFor(settleTime + 5*time.Millisecond)
-		s.traceEvents("copied")
+		s.traceEvents("duplicate")
 		s.lastNotice++
 		s.pool.At(time.Now())
 		s.pool.Send(&Call{Notice: s.lastNotice, Address: s.address, ID: "3", TimeOut: 10 * time.Millisecond})
@@ -324,10 +345,11 @@
 		conn.Close()
 		s.runFor(10 * time.Millisecond)
 		s.traceEvents("late")
-		s.checkTrace("first: 1 handled, 0 surplus\ncopied: 2 handled unconfirmed, 0 surplus\nlate: 3 timed out, " + outcomeBefore + ", 0 surplus")
+		s.checkTrace("first: 1 handled, 0 unsolicited\nduplicate: 2 handled unconfirmed, 0 unsolicited\nlate: 3 timed out, " + outcomeBefore + ", 0 unsolicited")
 	}
 }
 
+// An outcome that is unconfirmed when its connection ends is retracted, whichever side closes the connection.
 func TestUnconfirmedOutcomeIsRetractedWhenItsConnectionEnds(t *testing.T) {
 	endings := map[string]func(*harness, net.Conn){
 		"reset": func(_ *harness, conn net.Conn) {
@@ -351,12 +373,14 @@
 				endConnection(s, conn)
 				s.runFor(20 * time.Millisecond)
 				s.traceEvents("ended")
-				s.checkTrace("first: 1 handled, 0 surplus\nended: 2 doubted, 0 surplus")
+				s.checkTrace("first: 1 handled, 0 unsolicited\nended: 2 retracted, 0 unsolicited")
 			})
 		}
 	}
 }
 
+// If responses were shifted by one call, the last of several calls with equal statuses has the wrong one; the
+// others are correct either way.
 func TestOfEqualOutcomesOnlyTheLastIsRetractedWhenTheConnectionEnds(t *testing.T) {
 	s, callsRead := newScriptedHarness(t)
 	s.confirmAfter = 10 * time.Second
@@ -371,5 +395,5 @@
 	conn.Close()
 	s.runFor(20 * time.Millisecond)
 	s.traceEvents("ended")
-	s.checkTrace("first: 1 handled, 0 surplus\nended: 2 confirmed, 4 confirmed, 5 doubted, 3 doubted, 0 surplus")
+	s.checkTrace("first: 1 handled, 0 unsolicited\nended: 2 confirmed, 4 confirmed, 5 retracted, 3 retracted, 0 unsolicited")
 }
