--- a/internal/calls/answers.go
+++ b/internal/calls/answers.go
@@ -132,7 +132,7 @@
 }
 
 // retractContradicted retracts the outcomes that are wrong if the responses received last belong to calls that were
-// answered before. Only exchanges that match accepts are retracted.
+// answered before. Only exchanges accepted by match are retracted.
 func (p *Pool) retractContradicted(conn *connection, match func(exchange) bool) {
 	for _, status := range conn.statuses {
 		p.retractShifted(conn, status, match)
@@ -197,7 +197,8 @@
 	if len(trailing) > 0 && !message.Close {
 		p.Beyond++
 	}
-	// The receiver must have finished a call before the call is sent again: closing the connection ends it there.
+	// A call must have ended at its receiver before it is sent again. Its connection is closed then, instead of
+	// being kept for late responses.
 	mayBeRetried := conn.call != nil && conn.contradicted(message.Status) && !conn.mayBeDelivered(message.Status)
 	if conn.call != nil {
 		p.recordOutcome(conn, message)
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -79,22 +79,25 @@
 	log             *slog.Logger
 	tracing         bool // log the steps of each connection at debug level
 
-	outstanding    map[rules.NoticeID]*Call           // calls without an outcome
-	byDestination  map[rules.DestinationID][]*Call    // the same calls by destination
-	deadlines      byDeadline                         // the same calls, the next to time out first
-	connections    map[*sockets.Conn]*connection      // all open connections
-	opened         uint64                             // connections opened so far
-	idle           map[rules.ReceiverID][]*connection // the most recently used last
-	settling       []*connection                      // connections with a call that waits until they have settled
-	connectTimes   map[rules.ReceiverID]time.Duration // how long the last connection to a receiver took to connect
+	outstanding   map[rules.NoticeID]*Call           // calls without an outcome
+	byDestination map[rules.DestinationID][]*Call    // the same calls by destination
+	deadlines     byDeadline                         // the same calls, the next to time out first
+	connections   map[*sockets.Conn]*connection      // all open connections
+	opened        uint64                             // connections opened so far
+	idle          map[rules.ReceiverID][]*connection // the most recently used last
+	settling      []*connection                      // connections with a call that waits until they have settled
+	connectTimes  map[rules.ReceiverID]time.Duration // how long the last connection to a receiver took to connect
+
+	// Reports that the owner has not collected yet.
 	ended          []rules.TripEnded
 	established    []rules.ConnectionUp
 	requestedWaits []rules.WaitTold
 	confirmed      []Confirmation
 	retractions    []Doubt
 	unsolicited    []rules.ReceiverID
-	now            time.Time
-	requestBuffer  []byte
+
+	now           time.Time // as set by Begin and At
+	requestBuffer []byte    // reused for the head of each request
 	// lagged reports that the process may have been paused since connections were last read, so that responses may be
 	// unread.
 	lagged bool
@@ -144,7 +147,7 @@
 // Out returns the number of calls without an outcome.
 func (p *Pool) Out() int { return len(p.outstanding) }
 
-// Ended returns the outcomes since its last call.
+// Ended returns the outcomes since it was last called.
 func (p *Pool) Ended() []rules.TripEnded {
 	ended := p.ended
 	p.ended = nil
@@ -191,14 +194,14 @@
 	p.connections[conn.socket] = conn
 }
 
-// Up returns the calls whose connections have become ready since its last call. Each waits for Write or Recall.
+// Up returns the calls whose connections have become ready since it was last called. Each waits for Write or Recall.
 func (p *Pool) Up() []rules.ConnectionUp {
 	established := p.established
 	p.established = nil
 	return established
 }
 
-// Waits returns the waits requested since its last call by responses that are not complete yet.
+// Waits returns the waits requested since it was last called by responses that are not complete yet.
 func (p *Pool) Waits() []rules.WaitTold {
 	waits := p.requestedWaits
 	p.requestedWaits = nil
@@ -268,9 +271,9 @@
 		return
 	}
 	if p.tracing {
-		p.log.Debug(logs.Written, "connection", conn.number, "id", call.ID, "notice", call.Notice, "receiver", call.Receiver,
-			"begun_ago", p.now.Sub(call.Begun), "fresh", conn.callsWritten == 0, "carried", conn.callsWritten,
-			"rested", conn.timeSinceRead(time.Now()))
+		p.log.Debug(logs.Written, "connection", conn.number, "id", call.ID, "notice", call.Notice,
+			"receiver", call.Receiver, "begun_ago", p.now.Sub(call.Begun), "fresh", conn.callsWritten == 0,
+			"carried", conn.callsWritten, "rested", conn.timeSinceRead(time.Now()))
 	}
 	conn.callsWritten++
 	conn.statuses = conn.statuses[:0]
@@ -364,5 +367,6 @@
 
 // Waiting reports whether there is an outcome or another report that the owner has not collected yet.
 func (p *Pool) Waiting() bool {
-	return len(p.ended)+len(p.established)+len(p.requestedWaits)+len(p.confirmed)+len(p.retractions)+len(p.unsolicited) > 0
+	return len(p.ended)+len(p.established)+len(p.requestedWaits)+
+		len(p.confirmed)+len(p.retractions)+len(p.unsolicited) > 0
 }
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &harness{t: t, address: receiver.Addr().String(), accepted: make(chan net.Conn, 99),
+	h := &harness{t: t, address: receiver.Addr().String(), accepted: make(chan net.Conn, 99),
 		responses: make(chan string, 1), confirmAfter: confirmTime}
 	go func() {
 		for {
@@ -49,7 +49,7 @@
 			if err != nil {
 				return
 			}
-			s.accepted <- conn
+			h.accepted <- conn
 			go func() {
 				for reader := bufio.NewReader(conn); ; {
 					request, err := http.ReadRequest(reader)
@@ -57,7 +57,7 @@
 						return
 					}
 					io.Copy(io.Discard, request.Body)
-					if _, err := io.WriteString(conn, <-s.responses); err != nil {
+					if _, err := io.WriteString(conn, <-h.responses); err != nil {
 						return
 					}
 				}
@@ -67,55 +67,56 @@
 	resources := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
 	resources.SettleTime = 0
 	pool := buffers.NewPool(resources.Buffer)
-	s.pool = New(resources, pool, []string{"x0", "x1"}, slog.New(slog.DiscardHandler), Hooks{
+	h.pool = New(resources, pool, []string{"x0", "x1"}, slog.New(slog.DiscardHandler), Hooks{
 		Record:        func(*Call) error { return nil },
-		ConfirmTime:   func(rules.ReceiverID) time.Duration { return s.confirmAfter },
-		WaitsToSettle: func(rules.ReceiverID, time.Duration, time.Duration) bool { return s.waitToSettle }})
-	if s.net, err = sockets.Start("127.0.0.1:0", resources, pool, s.pool); err != nil {
+		ConfirmTime:   func(rules.ReceiverID) time.Duration { return h.confirmAfter },
+		WaitsToSettle: func(rules.ReceiverID, time.Duration, time.Duration) bool { return h.waitToSettle }})
+	if h.net, err = sockets.Start("127.0.0.1:0", resources, pool, h.pool); err != nil {
 		t.Fatal(err)
 	}
-	s.pool.Use(s.net)
-	t.Cleanup(func() { receiver.Close(); s.net.Stop() })
-	return s
+	h.pool.Use(h.net)
+	t.Cleanup(func() { receiver.Close(); h.net.Stop() })
+	return h
 }
 
 // confirmTime is how long outcomes on reused connections stay unconfirmed.
 const confirmTime = 100 * time.Millisecond
 
 // deliver makes a call, and adds its outcome and the state of its connection to the trace.
-func (s *harness) deliver(response string) {
-	s.lastNotice++
-	s.responses <- response
-	s.pool.At(time.Now())
-	s.pool.Send(&Call{Notice: s.lastNotice, Address: s.address, ID: fmt.Sprint(s.lastNotice),
+func (h *harness) deliver(response string) {
+	h.lastNotice++
+	h.responses <- response
+	h.pool.At(time.Now())
+	h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: fmt.Sprint(h.lastNotice),
 		TimeOut: 400 * time.Millisecond})
-	for s.pool.Out() > 0 {
-		s.turn()
+	for h.pool.Out() > 0 {
+		h.turn()
 	}
 	first, _, _ := strings.Cut(response, "\r\n")
-	for _, ended := range s.pool.Ended() {
-		fmt.Fprintf(&s.trace, "%d %.24q: result %d, wait %.0f, load report %v, over %v, %d connections, %d idle\n",
-			ended.Notice, first, ended.Result, ended.Wait, ended.LimitTold, ended.Over, len(s.accepted), len(s.pool.idle[0]))
+	for _, ended := range h.pool.Ended() {
+		fmt.Fprintf(&h.trace, "%d %.24q: result %d, wait %.0f, load report %v, over %v, %d connections, %d idle\n",
+			ended.Notice, first, ended.Result, ended.Wait, ended.LimitTold, ended.Over,
+			len(h.accepted), len(h.pool.idle[0]))
 	}
 }
 
 // turn runs one turn of the loop that owns a Pool.
-func (s *harness) turn() {
+func (h *harness) turn() {
 	time.Sleep(time.Millisecond)
-	s.pool.At(time.Now())
-	s.pool.Expire()
-	s.net.Gather()
-	for _, up := range s.pool.Up() {
-		s.pool.Write(up.Notice)
+	h.pool.At(time.Now())
+	h.pool.Expire()
+	h.net.Gather()
+	for _, up := range h.pool.Up() {
+		h.pool.Write(up.Notice)
 	}
-	s.pool.Sweep()
+	h.pool.Sweep()
 }
 
 // checkTrace compares the trace with the expected one.
-func (s *harness) checkTrace(want string) {
-	s.t.Helper()
-	if diff := cmp.Diff(strings.TrimSpace(want), strings.TrimSpace(s.trace.String())); diff != "" {
-		s.t.Errorf("-want +got:\n%s", diff)
+func (h *harness) checkTrace(want string) {
+	h.t.Helper()
+	if diff := cmp.Diff(strings.TrimSpace(want), strings.TrimSpace(h.trace.String())); diff != "" {
+		h.t.Errorf("-want +got:\n%s", diff)
 	}
 }
 
@@ -125,16 +126,16 @@
 // An idle connection that was closed since the last turn, or on which unsolicited bytes arrived, is not used: the
 // call would fail without need, or be recorded with a response that is not its own.
 func TestNotQuietWhileIdle(t *testing.T) {
-	s := newHarness(t)
-	s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
-	s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
-	(<-s.accepted).Close()
+	h := newHarness(t)
+	h.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
+	h.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
+	(<-h.accepted).Close()
 	time.Sleep(100 * time.Millisecond) // closed, but the pool has not read that yet
-	s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
-	io.WriteString(<-s.accepted, "HTTP/1.1 200 Unasked\r\n"+shortBody)
+	h.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
+	io.WriteString(<-h.accepted, "HTTP/1.1 200 Unasked\r\n"+shortBody)
 	time.Sleep(100 * time.Millisecond) // received, but the pool has not read it yet
-	s.deliver("HTTP/1.1 503 Full\r\n" + shortBody)
-	s.checkTrace(`
+	h.deliver("HTTP/1.1 503 Full\r\n" + shortBody)
+	h.checkTrace(`
 1 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
 2 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
 3 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
@@ -145,7 +146,7 @@
 // Of a malformed response only a status of 200 counts. With any other status, even one that says that the call did
 // not run, it may have run.
 func TestMalformedResponses(t *testing.T) {
-	s := newHarness(t)
+	h := newHarness(t)
 	endless := strings.Repeat("A: b\r\n", 3000)
 	for _, response := range []string{
 		"200 OK\r\n" + shortBody,
@@ -170,16 +171,16 @@
 		"410 Over\r\nContent-Length: 9\r\n\r\ncut",
 		"101 Switching\r\n\r\n",
 	} {
-		s.deliver("HTTP/1.1 " + response)
-		for i := 0; i < 300 && len(s.pool.connections) > len(s.pool.idle[0]); i++ {
-			s.turn() // a body that does not arrive is waited for
+		h.deliver("HTTP/1.1 " + response)
+		for i := 0; i < 300 && len(h.pool.connections) > len(h.pool.idle[0]); i++ {
+			h.turn() // a body that does not arrive is waited for
 		}
-		s.pool.LetGo(0)
-		if len(s.pool.connections) > 0 {
-			fmt.Fprintf(&s.trace, "  %d connections left\n", len(s.pool.connections))
+		h.pool.LetGo(0)
+		if len(h.pool.connections) > 0 {
+			fmt.Fprintf(&h.trace, "  %d connections left\n", len(h.pool.connections))
 		}
 	}
-	s.checkTrace(`
+	h.checkTrace(`
 1 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
 2 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 2 connections, 0 idle
 3 "HTTP/1.1 503 Full": result 2, wait 0, load report false, over false, 3 connections, 0 idle
@@ -207,66 +208,66 @@
 // If the process was paused while a connection was being established, the call is not written any more: what the
 // rules have been told since it was started may forbid it.
 func TestConnectionEstablishedTooLate(t *testing.T) {
-	s := newHarness(t)
+	h := newHarness(t)
 	now := time.Now()
-	s.pool.At(now)
-	s.pool.Send(&Call{Notice: 1, Address: s.address, ID: "1", TimeOut: time.Minute})
-	<-s.accepted
+	h.pool.At(now)
+	h.pool.Send(&Call{Notice: 1, Address: h.address, ID: "1", TimeOut: time.Minute})
+	<-h.accepted
 	time.Sleep(50 * time.Millisecond)
-	s.pool.At(now.Add(1100 * time.Millisecond))
-	s.net.Gather()
-	ended := s.pool.Ended()
-	if len(ended) != 1 || ended[0].Result != rules.NotConnected || s.pool.Out() > 0 {
-		t.Errorf("unexpected outcomes or calls still outstanding: ended %+v", ended)
+	h.pool.At(now.Add(1100 * time.Millisecond))
+	h.net.Gather()
+	ended := h.pool.Ended()
+	if len(ended) != 1 || ended[0].Result != rules.NotConnected || h.pool.Out() > 0 {
+		t.Errorf("outcomes %+v, want notice 1 not connected and no outstanding call", ended)
 	}
 }
 
 // After a pause of the process, a call is recalled while a response of the same destination, which may request a
 // wait, is unread.
 func TestUnreadResponseHoldsBackCallsAfterProcessPause(t *testing.T) {
-	s := newHarness(t)
+	h := newHarness(t)
 	now := time.Now()
-	s.pool.Begin(now)
-	s.pool.Send(&Call{Notice: 1, Address: s.address, ID: "1", TimeOut: time.Minute})
-	for !s.pool.outstanding[1].written {
-		s.turn()
+	h.pool.Begin(now)
+	h.pool.Send(&Call{Notice: 1, Address: h.address, ID: "1", TimeOut: time.Minute})
+	for !h.pool.outstanding[1].written {
+		h.turn()
 	}
-	s.responses <- "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 2\r\n" + shortBody
+	h.responses <- "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 2\r\n" + shortBody
 	time.Sleep(50 * time.Millisecond) // the response has arrived, but the pool has not read it
-	s.pool.Begin(time.Now())
-	s.pool.Send(&Call{Notice: 2, Address: s.address, ID: "2", TimeOut: time.Minute})
-	s.pool.Send(&Call{Notice: 3, Destination: 7, Address: s.address, ID: "3", TimeOut: time.Minute})
-	if ended := s.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.Recalled {
-		t.Errorf("unexpected outcomes or calls still outstanding: ended %+v", ended)
+	h.pool.Begin(time.Now())
+	h.pool.Send(&Call{Notice: 2, Address: h.address, ID: "2", TimeOut: time.Minute})
+	h.pool.Send(&Call{Notice: 3, Destination: 7, Address: h.address, ID: "3", TimeOut: time.Minute})
+	if ended := h.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.Recalled {
+		t.Errorf("outcomes %+v, want only notice 2 recalled", ended)
 	}
 }
 
 // A call that can't be sent because connections or space in the ledger have run out ends as a local shortage. An
 // idle connection is closed first to make space.
 func TestShortages(t *testing.T) {
-	s := newHarness(t)
-	s.pool.limits.Receivers = 1
-	s.pool.At(time.Now())
-	s.pool.Send(&Call{Notice: 1, Receiver: 1, Address: s.address, ID: "1", TimeOut: time.Minute})
-	s.pool.Send(&Call{Notice: 2, Receiver: 2, Address: s.address, ID: "2", TimeOut: time.Minute})
-	if ended := s.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.Short {
-		t.Errorf("unexpected outcomes or calls still outstanding: ended %+v", ended)
+	h := newHarness(t)
+	h.pool.limits.Receivers = 1
+	h.pool.At(time.Now())
+	h.pool.Send(&Call{Notice: 1, Receiver: 1, Address: h.address, ID: "1", TimeOut: time.Minute})
+	h.pool.Send(&Call{Notice: 2, Receiver: 2, Address: h.address, ID: "2", TimeOut: time.Minute})
+	if ended := h.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.Short {
+		t.Errorf("outcomes %+v, want only notice 2 ended by a local shortage", ended)
 	}
-	s.responses <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	for s.pool.Out() > 0 {
-		s.turn()
+	h.responses <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	for h.pool.Out() > 0 {
+		h.turn()
 	}
-	s.pool.Ended()
-	s.pool.Send(&Call{Notice: 3, Receiver: 2, Address: s.address, ID: "3", TimeOut: time.Minute})
-	if ended := s.pool.Ended(); len(ended) != 0 || s.pool.Out() != 1 {
-		t.Errorf("with an idle connection to close: ended %+v", ended)
+	h.pool.Ended()
+	h.pool.Send(&Call{Notice: 3, Receiver: 2, Address: h.address, ID: "3", TimeOut: time.Minute})
+	if ended := h.pool.Ended(); len(ended) != 0 || h.pool.Out() != 1 {
+		t.Errorf("outcomes %+v with an idle connection to close, want none and one outstanding call", ended)
 	}
-	s.pool.hooks.Record = func(*Call) error { return fmt.Errorf("the ledger is full") }
-	for s.pool.Out() > 0 {
-		s.turn()
+	h.pool.hooks.Record = func(*Call) error { return fmt.Errorf("the ledger is full") }
+	for h.pool.Out() > 0 {
+		h.turn()
 	}
-	if ended := s.pool.Ended(); len(ended) != 1 || ended[0].Result != rules.Short {
-		t.Errorf("ledger full: ended %+v", ended)
+	if ended := h.pool.Ended(); len(ended) != 1 || ended[0].Result != rules.Short {
+		t.Errorf("outcomes %+v with a full ledger, want one local shortage", ended)
 	}
 	for _, err := range []error{syscall.EMFILE, syscall.EADDRNOTAVAIL} {
 		if !localShortage(&net.OpError{Err: os.NewSyscallError("socket", err)}) {
--- a/internal/calls/connections.go
+++ b/internal/calls/connections.go
@@ -15,7 +15,7 @@
 
 // closeOldest closes one connection to make space for another and reports whether it did. It prefers a connection
 // that sends no more calls and awaits no late response, then an idle one, then one that still awaits a late
-// response, whose unconfirmed outcomes may be retracted thereby.
+// response; closing that one may retract unconfirmed outcomes.
 func (p *Pool) closeOldest() bool {
 	expendable := func(conn *connection) bool { return conn.receiveOnly || conn.retired }
 	oldest := p.oldest(func(conn *connection) bool { return expendable(conn) && !p.awaitsLateResponse(conn) })
@@ -107,7 +107,9 @@
 // localShortage reports whether a connection could not be opened because this machine is short of file descriptors,
 // ports, buffers or memory, as opposed to a failure of the receiver or of the network.
 func localShortage(err error) bool {
-	for _, shortage := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
+	for _, shortage := range []error{
+		syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM,
+	} {
 		if errors.Is(err, shortage) {
 			return true
 		}
@@ -115,9 +117,9 @@
 	return false
 }
 
-// connectionFailed closes a connection that ended or sent a malformed response, and ends its call. Of an incomplete
-// or malformed response only a status of 200 counts: with any other status the call may have run. A wait that a
-// status of 429 or 503 requests is still followed.
+// connectionFailed closes a connection that ended or sent a malformed response, and ends its call, if any. Of an
+// incomplete or malformed response only a status of 200 counts: with any other status the call may have run. A wait
+// that a status of 429 or 503 requests is still followed.
 func (p *Pool) connectionFailed(conn *connection, reason string) {
 	call, status, begun := conn.call, conn.parser.Status(), conn.parser.Begun()
 	outcome := rules.TripEnded{Result: rules.Reset}
@@ -222,7 +224,8 @@
 func (p *Pool) Sweep() {
 	for _, conn := range p.connections {
 		p.confirmDue(conn)
-		if (conn.readingBody || conn.receiveOnly) && p.now.Sub(conn.stateSince) > p.limits.RestTime && !p.awaitsLateResponse(conn) {
+		if (conn.readingBody || conn.receiveOnly) && p.now.Sub(conn.stateSince) > p.limits.RestTime &&
+			!p.awaitsLateResponse(conn) {
 			p.retractTruncated(conn)
 			p.drop(conn, "response incomplete after the time allowed for its rest")
 		} else if conn.retired && !p.awaitsLateResponse(conn) && p.now.Sub(conn.lastRead) > p.limits.RestTime {
--- a/internal/calls/retry_after.go
+++ b/internal/calls/retry_after.go
@@ -27,7 +27,7 @@
 }
 
 // parseRetryAfter returns the wait in seconds that the value of one Retry-After header requests; 0 if it can't be
-// parsed. A date in the past gives a negative number.
+// parsed. Negative seconds and dates in the past give a negative number.
 func parseRetryAfter(text string, now time.Time) float64 {
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil || math.IsInf(seconds, 1) {
 		if math.IsNaN(seconds) {
--- a/internal/calls/settling.go
+++ b/internal/calls/settling.go
@@ -61,21 +61,21 @@
 // unconfirmed.
 const maxExchanges = 32
 
-// Confirmed returns the trips whose unconfirmed outcomes have proved correct since its last call.
+// Confirmed returns the trips whose unconfirmed outcomes have proved correct since it was last called.
 func (p *Pool) Confirmed() []Confirmation {
 	confirmed := p.confirmed
 	p.confirmed = nil
 	return confirmed
 }
 
-// Doubts returns the outcomes retracted since its last call.
+// Doubts returns the outcomes retracted since it was last called.
 func (p *Pool) Doubts() []Doubt {
 	retractions := p.retractions
 	p.retractions = nil
 	return retractions
 }
 
-// Surplus returns the receivers that sent unsolicited bytes since its last call.
+// Surplus returns the receivers that sent unsolicited bytes since it was last called.
 func (p *Pool) Surplus() []rules.ReceiverID {
 	receivers := p.unsolicited
 	p.unsolicited = nil
@@ -142,7 +142,7 @@
 	}
 }
 
-// confirm confirms the unconfirmed outcomes of a connection that match accepts.
+// confirm confirms the unconfirmed outcomes of a connection that are accepted by match.
 func (p *Pool) confirm(conn *connection, match func(exchange) bool) {
 	for i := range conn.exchanges {
 		if ex := &conn.exchanges[i]; ex.state == unconfirmed && match(*ex) {
@@ -158,8 +158,8 @@
 }
 
 // retractShifted retracts the outcomes that are wrong if a response with status laterStatus was the correct one to
-// the last call, and the response to each earlier call was recorded for the call after it. Exchanges that match
-// rejects, that have the same status either way, or whose deadline has passed are not retracted.
+// the last call, and the response to each earlier call was recorded for the call after it. Only exchanges
+// accepted by match are retracted, and none that has the same status either way or whose deadline has passed.
 func (p *Pool) retractShifted(conn *connection, laterStatus int, match func(exchange) bool) {
 	for i := len(conn.exchanges) - 1; i >= 0; i-- {
 		ex := &conn.exchanges[i]
@@ -174,7 +174,8 @@
 func (p *Pool) retract(conn *connection, ex *exchange) {
 	if ex.state == unconfirmed || ex.state == confirmed {
 		ex.state = retracted
-		p.retractions = append(p.retractions, Doubt{Notice: ex.notice, Receiver: conn.receiver, ID: ex.id, Written: ex.writtenAt})
+		p.retractions = append(p.retractions,
+			Doubt{Notice: ex.notice, Receiver: conn.receiver, ID: ex.id, Written: ex.writtenAt})
 	}
 }
 
@@ -204,7 +205,8 @@
 	p.Unasked++
 	p.unsolicited = append(p.unsolicited, conn.receiver)
 	p.log.Warn(logs.Unasked, "connection", conn.number, "receiver", conn.receiver, "last", conn.lastNotice,
-		"carried", conn.callsWritten, "quiet", silence, "bytes", len(data), "begins", string(data[:min(len(data), maxLoggedBytes)]))
+		"carried", conn.callsWritten, "quiet", silence, "bytes", len(data),
+		"begins", string(data[:min(len(data), maxLoggedBytes)]))
 }
 
 // handleUnsolicited stops using a connection on which unsolicited bytes arrived. A reused connection stays open for
--- a/internal/calls/settling_test.go
+++ b/internal/calls/settling_test.go
@@ -19,14 +19,14 @@
 // newScriptedHarness returns a harness whose receiver leaves the responses to the test: it sends the connection of
 // each call that it has read to the channel.
 func newScriptedHarness(t *testing.T) (*harness, chan net.Conn) {
-	s := newHarness(t)
-	s.pool.limits.SettleTime = settleTime
+	h := newHarness(t)
+	h.pool.limits.SettleTime = settleTime
 	receiver, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { receiver.Close() })
-	s.address = receiver.Addr().String()
+	h.address = receiver.Addr().String()
 	callsRead := make(chan net.Conn, 9)
 	go func() {
 		for {
@@ -46,51 +46,51 @@
 			}()
 		}
 	}()
-	return s, callsRead
+	return h, callsRead
 }
 
 // send starts a call.
-func (s *harness) send() rules.NoticeID {
-	s.lastNotice++
-	s.pool.At(time.Now())
-	s.pool.Send(&Call{Notice: s.lastNotice, Address: s.address, ID: fmt.Sprint(s.lastNotice), TimeOut: time.Second})
-	return s.lastNotice
+func (h *harness) send() rules.NoticeID {
+	h.lastNotice++
+	h.pool.At(time.Now())
+	h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: fmt.Sprint(h.lastNotice), TimeOut: time.Second})
+	return h.lastNotice
 }
 
 // runFor runs turns for a duration.
-func (s *harness) runFor(duration time.Duration) {
+func (h *harness) runFor(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
-		s.turn()
+		h.turn()
 	}
 }
 
 // awaitCall runs turns until the receiver has read a call, and returns its connection.
-func (s *harness) awaitCall(callsRead chan net.Conn) net.Conn {
+func (h *harness) awaitCall(callsRead chan net.Conn) net.Conn {
 	for {
 		select {
 		case conn := <-callsRead:
 			return conn
 		case <-time.After(time.Millisecond):
-			s.turn()
+			h.turn()
 		}
 	}
 }
 
 // reusedConnection returns a connection that has carried a call and has settled, so that the next call reuses it.
-func (s *harness) reusedConnection(callsRead chan net.Conn) net.Conn {
-	s.send()
-	conn := s.awaitCall(callsRead)
+func (h *harness) reusedConnection(callsRead chan net.Conn) net.Conn {
+	h.send()
+	conn := h.awaitCall(callsRead)
 	respond(conn, 200, "")
-	s.runFor(2 * settleTime)
-	s.traceEvents("first")
+	h.runFor(2 * settleTime)
+	h.traceEvents("first")
 	return conn
 }
 
 // respondOnReused makes a second call on a connection, and answers it.
-func (s *harness) respondOnReused(callsRead chan net.Conn, status int) net.Conn {
-	conn := s.reusedConnection(callsRead)
-	s.send()
-	s.awaitCall(callsRead)
+func (h *harness) respondOnReused(callsRead chan net.Conn, status int) net.Conn {
+	conn := h.reusedConnection(callsRead)
+	h.send()
+	h.awaitCall(callsRead)
 	respond(conn, status, "")
 	return conn
 }
@@ -101,40 +101,40 @@
 }
 
 // traceEvents adds what the pool reports to the trace, under a label.
-func (s *harness) traceEvents(label string) {
-	fmt.Fprintf(&s.trace, "%s:", label)
-	for _, ended := range s.pool.Ended() {
-		fmt.Fprintf(&s.trace, " %d %v", ended.Notice, ended.Result)
+func (h *harness) traceEvents(label string) {
+	fmt.Fprintf(&h.trace, "%s:", label)
+	for _, ended := range h.pool.Ended() {
+		fmt.Fprintf(&h.trace, " %d %v", ended.Notice, ended.Result)
 		if ended.Unconfirmed {
-			s.trace.WriteString(" unconfirmed")
+			h.trace.WriteString(" unconfirmed")
 		}
 		if ended.MayBeDelivered {
-			s.trace.WriteString(" may be delivered")
+			h.trace.WriteString(" may be delivered")
 		}
-		s.trace.WriteString(",")
+		h.trace.WriteString(",")
 	}
-	for _, c := range s.pool.Confirmed() {
-		fmt.Fprintf(&s.trace, " %d confirmed,", c.Notice)
+	for _, c := range h.pool.Confirmed() {
+		fmt.Fprintf(&h.trace, " %d confirmed,", c.Notice)
 	}
-	for _, d := range s.pool.Doubts() {
-		fmt.Fprintf(&s.trace, " %d retracted,", d.Notice)
+	for _, d := range h.pool.Doubts() {
+		fmt.Fprintf(&h.trace, " %d retracted,", d.Notice)
 	}
-	for _, w := range s.pool.Waits() {
-		fmt.Fprintf(&s.trace, " wait %.0f,", w.Wait)
+	for _, w := range h.pool.Waits() {
+		fmt.Fprintf(&h.trace, " wait %.0f,", w.Wait)
 	}
-	fmt.Fprintf(&s.trace, " %d unsolicited\n", len(s.pool.Surplus()))
+	fmt.Fprintf(&h.trace, " %d unsolicited\n", len(h.pool.Surplus()))
 }
 
 // The outcome of a call on a reused connection is confirmed when no other response arrives within the confirmation
 // time.
 func TestOutcomeOnReusedConnectionIsConfirmedWhenNothingFollows(t *testing.T) {
-	s, callsRead := newScriptedHarness(t)
-	s.respondOnReused(callsRead, 503)
-	s.runFor(20 * time.Millisecond)
-	s.traceEvents("answered")
-	s.runFor(200 * time.Millisecond)
-	s.traceEvents("settled")
-	s.checkTrace(`
+	h, callsRead := newScriptedHarness(t)
+	h.respondOnReused(callsRead, 503)
+	h.runFor(20 * time.Millisecond)
+	h.traceEvents("answered")
+	h.runFor(200 * time.Millisecond)
+	h.traceEvents("settled")
+	h.checkTrace(`
 first: 1 handled, 0 unsolicited
 answered: 2 full unconfirmed, 0 unsolicited
 settled: 2 confirmed, 0 unsolicited
@@ -144,33 +144,33 @@
 // A late duplicate of an earlier response is taken for the response to the second call. Its outcome is retracted
 // when the correct response, with another status, arrives.
 func TestOutcomeTakenFromLateDuplicateIsRetracted(t *testing.T) {
-	for _, c := range []struct{ copied, answer int }{{200, 503}, {503, 200}, {200, 500}} {
-		s, callsRead := newScriptedHarness(t)
-		conn := s.respondOnReused(callsRead, c.copied)
-		s.runFor(20 * time.Millisecond)
-		s.pool.Ended()
-		respond(conn, c.answer, "Retry-After: 2\r\n")
-		s.runFor(20 * time.Millisecond)
-		s.traceEvents("then")
+	for _, c := range []struct{ duplicate, correct int }{{200, 503}, {503, 200}, {200, 500}} {
+		h, callsRead := newScriptedHarness(t)
+		conn := h.respondOnReused(callsRead, c.duplicate)
+		h.runFor(20 * time.Millisecond)
+		h.pool.Ended()
+		respond(conn, c.correct, "Retry-After: 2\r\n")
+		h.runFor(20 * time.Millisecond)
+		h.traceEvents("then")
 		wait := ""
-		if isRefusal(c.answer) {
+		if isRefusal(c.correct) {
 			wait = " wait 2000,"
 		}
-		s.checkTrace("first: 1 handled, 0 unsolicited\nthen: 2 retracted," + wait + " 1 unsolicited")
+		h.checkTrace("first: 1 handled, 0 unsolicited\nthen: 2 retracted," + wait + " 1 unsolicited")
 	}
 }
 
 // A duplicate response with the same status counts as unsolicited, but leaves the outcome correct.
 func TestDuplicateWithSameStatusRetractsNothing(t *testing.T) {
-	s, callsRead := newScriptedHarness(t)
-	conn := s.respondOnReused(callsRead, 200)
-	s.runFor(10 * time.Millisecond)
+	h, callsRead := newScriptedHarness(t)
+	conn := h.respondOnReused(callsRead, 200)
+	h.runFor(10 * time.Millisecond)
 	respond(conn, 200, "")
-	s.runFor(10 * time.Millisecond)
-	s.traceEvents("twice")
-	s.runFor(500 * time.Millisecond)
-	s.traceEvents("settled")
-	s.checkTrace(`
+	h.runFor(10 * time.Millisecond)
+	h.traceEvents("twice")
+	h.runFor(500 * time.Millisecond)
+	h.traceEvents("settled")
+	h.checkTrace(`
 first: 1 handled, 0 unsolicited
 twice: 2 handled unconfirmed, 1 unsolicited
 settled: 2 confirmed, 0 unsolicited
@@ -180,7 +180,7 @@
 // When two responses with different statuses arrive together on a reused connection, either may belong to the call,
 // so its outcome is ambiguous.
 func TestDifferingResponsesReadTogetherAreAmbiguous(t *testing.T) {
-	s, callsRead := newScriptedHarness(t)
+	h, callsRead := newScriptedHarness(t)
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
@@ -189,17 +189,18 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\nHTTP/1.1 429 Wait\r\nContent-Length: 0\r\n\r\n",
 	} {
-		conn := s.reusedConnection(callsRead)
-		s.send()
-		s.awaitCall(callsRead)
+		conn := h.reusedConnection(callsRead)
+		h.send()
+		h.awaitCall(callsRead)
 		io.WriteString(conn, text)
-		s.runFor(400 * time.Millisecond)
-		s.trace.Reset()
-		s.pool.Surplus()
-		s.pool.Waits()
-		ended := s.pool.Ended()
-		if len(ended) != 1 || ended[0].Result != rules.Ambiguous || ended[0].MayBeDelivered != strings.Contains(text, " 200 ") {
-			t.Errorf("%.60q: %+v", text, ended)
+		h.runFor(400 * time.Millisecond)
+		h.trace.Reset()
+		h.pool.Surplus()
+		h.pool.Waits()
+		ended := h.pool.Ended()
+		if len(ended) != 1 || ended[0].Result != rules.Ambiguous ||
+			ended[0].MayBeDelivered != strings.Contains(text, " 200 ") {
+			t.Errorf("%.60q: outcomes %+v, want one ambiguous", text, ended)
 		}
 	}
 }
@@ -207,40 +208,40 @@
 // A call assigned to an idle connection is written only when that has settled, and on a new connection if a
 // duplicate response arrives meanwhile.
 func TestCallWaitsUntilItsConnectionHasSettled(t *testing.T) {
-	s, callsRead := newScriptedHarness(t)
-	s.waitToSettle = true
-	s.send()
-	conn := s.awaitCall(callsRead)
+	h, callsRead := newScriptedHarness(t)
+	h.waitToSettle = true
+	h.send()
+	conn := h.awaitCall(callsRead)
 	respond(conn, 200, "")
-	for s.pool.Out() > 0 {
-		s.turn()
+	for h.pool.Out() > 0 {
+		h.turn()
 	}
 	answered := time.Now()
-	s.traceEvents("first")
-	s.send()
-	if again := s.awaitCall(callsRead); again != conn {
+	h.traceEvents("first")
+	h.send()
+	if again := h.awaitCall(callsRead); again != conn {
 		t.Error("the second call was sent on another connection")
 	}
 	if waited := time.Since(answered); waited < settleTime-5*time.Millisecond {
 		t.Errorf("call written %v after a response, before the connection had settled", waited)
 	}
 	respond(conn, 200, "")
-	for s.pool.Out() > 0 {
-		s.turn()
+	for h.pool.Out() > 0 {
+		h.turn()
 	}
-	s.traceEvents("second")
-	s.send()
+	h.traceEvents("second")
+	h.send()
 	respond(conn, 200, "") // a duplicate response, while the third call waits
-	another := s.awaitCall(callsRead)
+	another := h.awaitCall(callsRead)
 	if another == conn {
 		t.Error("the call was written on a connection on which a duplicate response had arrived")
 	}
 	respond(another, 200, "")
-	for s.pool.Out() > 0 {
-		s.turn()
+	for h.pool.Out() > 0 {
+		h.turn()
 	}
-	s.traceEvents("third")
-	s.checkTrace(`
+	h.traceEvents("third")
+	h.checkTrace(`
 first: 1 handled, 0 unsolicited
 second: 2 handled unconfirmed, 0 unsolicited
 third: 3 handled, 1 unsolicited
@@ -250,40 +251,40 @@
 // Where calls don't wait for connections to settle, a new connection is opened instead of using one that has not
 // settled.
 func TestConnectionThatHasNotSettledIsNotUsed(t *testing.T) {
-	s, callsRead := newScriptedHarness(t)
-	s.send()
-	conn := s.awaitCall(callsRead)
+	h, callsRead := newScriptedHarness(t)
+	h.send()
+	conn := h.awaitCall(callsRead)
 	respond(conn, 200, "")
-	for s.pool.Out() > 0 {
-		s.turn()
+	for h.pool.Out() > 0 {
+		h.turn()
 	}
-	s.send()
-	if s.awaitCall(callsRead) == conn {
+	h.send()
+	if h.awaitCall(callsRead) == conn {
 		t.Error("the connection was used before it had settled")
 	}
 }
 
 // Some servers send status 408 before they close an idle connection. That is not counted as unsolicited bytes.
 func TestIdleTimeoutResponseIsNotUnsolicited(t *testing.T) {
-	s, callsRead := newScriptedHarness(t)
-	conn := s.reusedConnection(callsRead)
+	h, callsRead := newScriptedHarness(t)
+	conn := h.reusedConnection(callsRead)
 	respond(conn, 408, "")
-	s.runFor(20 * time.Millisecond)
-	s.traceEvents("408")
-	s.checkTrace("first: 1 handled, 0 unsolicited\n408: 0 unsolicited")
+	h.runFor(20 * time.Millisecond)
+	h.traceEvents("408")
+	h.checkTrace("first: 1 handled, 0 unsolicited\n408: 0 unsolicited")
 }
 
 // The connection is reset before a success on it is confirmed: the correct response may have been lost.
 func TestSuccessIsRetractedWhenItsConnectionBreaks(t *testing.T) {
-	s, callsRead := newScriptedHarness(t)
-	conn := s.respondOnReused(callsRead, 200)
-	s.runFor(20 * time.Millisecond)
-	s.traceEvents("answered")
+	h, callsRead := newScriptedHarness(t)
+	conn := h.respondOnReused(callsRead, 200)
+	h.runFor(20 * time.Millisecond)
+	h.traceEvents("answered")
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
-	s.runFor(20 * time.Millisecond)
-	s.traceEvents("broken")
-	s.checkTrace(`
+	h.runFor(20 * time.Millisecond)
+	h.traceEvents("broken")
+	h.checkTrace(`
 first: 1 handled, 0 unsolicited
 answered: 2 handled unconfirmed, 0 unsolicited
 broken: 2 retracted, 0 unsolicited
@@ -293,19 +294,19 @@
 // A receiver may respond before it has read the whole body of a request. That response must not be taken for an
 // unsolicited one.
 func TestResponseDuringRequestWriteBelongsToThatCall(t *testing.T) {
-	s, callsRead := newScriptedHarness(t)
-	s.reusedConnection(callsRead)
-	body := s.pool.buffers.NewChain()
+	h, callsRead := newScriptedHarness(t)
+	h.reusedConnection(callsRead)
+	body := h.pool.buffers.NewChain()
 	body.Add(make([]byte, 1<<20))
 	for range 40 {
-		s.lastNotice++
+		h.lastNotice++
 		go func() { respond(<-callsRead, 200, "") }()
-		s.pool.At(time.Now())
-		s.pool.Send(&Call{Notice: s.lastNotice, Address: s.address, ID: "2", TimeOut: time.Second, Body: body})
-		s.runFor(settleTime + 10*time.Millisecond)
-		for _, ended := range s.pool.Ended() {
+		h.pool.At(time.Now())
+		h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: "2", TimeOut: time.Second, Body: body})
+		h.runFor(settleTime + 10*time.Millisecond)
+		for _, ended := range h.pool.Ended() {
 			if ended.Result != rules.Handled {
-				t.Errorf("%+v", ended)
+				t.Errorf("outcome %+v, want handled", ended)
 			}
 		}
 	}
@@ -314,15 +315,15 @@
 // Every unconfirmed outcome is confirmed or retracted, even if more calls follow on a connection than maxExchanges.
 func TestEveryOutcomeIsConfirmedOrRetracted(t *testing.T) {
 	const count = 100
-	s := newHarness(t)
-	s.confirmAfter = time.Minute
+	h := newHarness(t)
+	h.confirmAfter = time.Minute
 	for range count {
-		s.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
+		h.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
 	}
-	s.pool.LetGo(0)
-	s.pool.At(time.Now().Add(2 * s.confirmAfter))
-	s.pool.Sweep()
-	if reported := len(s.pool.Confirmed()) + len(s.pool.Doubts()); reported != count-1 {
+	h.pool.LetGo(0)
+	h.pool.At(time.Now().Add(2 * h.confirmAfter))
+	h.pool.Sweep()
+	if reported := len(h.pool.Confirmed()) + len(h.pool.Doubts()); reported != count-1 {
 		t.Errorf("%d of %d unconfirmed outcomes were confirmed or retracted", reported, count-1)
 	}
 }
@@ -332,20 +333,21 @@
 // status it confirms it.
 func TestLateResponseToAbandonedCallMayBelongToPreviousCall(t *testing.T) {
 	for status, outcomeBefore := range map[int]string{503: "2 retracted", 200: "2 confirmed"} {
-		s, callsRead := newScriptedHarness(t)
-		conn := s.respondOnReused(callsRead, 200) // a duplicate of the first response
-		s.runFor(settleTime + 5*time.Millisecond)
-		s.traceEvents("duplicate")
-		s.lastNotice++
-		s.pool.At(time.Now())
-		s.pool.Send(&Call{Notice: s.lastNotice, Address: s.address, ID: "3", TimeOut: 10 * time.Millisecond})
-		s.awaitCall(callsRead)
-		s.runFor(15 * time.Millisecond)
+		h, callsRead := newScriptedHarness(t)
+		conn := h.respondOnReused(callsRead, 200) // a duplicate of the first response
+		h.runFor(settleTime + 5*time.Millisecond)
+		h.traceEvents("duplicate")
+		h.lastNotice++
+		h.pool.At(time.Now())
+		h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: "3", TimeOut: 10 * time.Millisecond})
+		h.awaitCall(callsRead)
+		h.runFor(15 * time.Millisecond)
 		respond(conn, status, "")
 		conn.Close()
-		s.runFor(10 * time.Millisecond)
-		s.traceEvents("late")
-		s.checkTrace("first: 1 handled, 0 unsolicited\nduplicate: 2 handled unconfirmed, 0 unsolicited\nlate: 3 timed out, " + outcomeBefore + ", 0 unsolicited")
+		h.runFor(10 * time.Millisecond)
+		h.traceEvents("late")
+		h.checkTrace("first: 1 handled, 0 unsolicited\nduplicate: 2 handled unconfirmed, 0 unsolicited\nlate: 3 timed out, " +
+			outcomeBefore + ", 0 unsolicited")
 	}
 }
 
@@ -356,24 +358,24 @@
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 		},
-		"closed later": func(s *harness, conn net.Conn) {
-			s.runFor(300 * time.Millisecond)
+		"closed later": func(h *harness, conn net.Conn) {
+			h.runFor(300 * time.Millisecond)
 			conn.Close()
 		},
-		"closed for room": func(s *harness, _ net.Conn) { s.pool.closeOldest() },
+		"closed for room": func(h *harness, _ net.Conn) { h.pool.closeOldest() },
 	}
 	for name, endConnection := range endings {
 		for _, status := range []int{200, 503} {
 			t.Run(fmt.Sprint(name, " ", status), func(t *testing.T) {
-				s, callsRead := newScriptedHarness(t)
-				s.confirmAfter = time.Second
-				conn := s.respondOnReused(callsRead, status)
-				s.runFor(20 * time.Millisecond)
-				s.pool.Ended()
-				endConnection(s, conn)
-				s.runFor(20 * time.Millisecond)
-				s.traceEvents("ended")
-				s.checkTrace("first: 1 handled, 0 unsolicited\nended: 2 retracted, 0 unsolicited")
+				h, callsRead := newScriptedHarness(t)
+				h.confirmAfter = time.Second
+				conn := h.respondOnReused(callsRead, status)
+				h.runFor(20 * time.Millisecond)
+				h.pool.Ended()
+				endConnection(h, conn)
+				h.runFor(20 * time.Millisecond)
+				h.traceEvents("ended")
+				h.checkTrace("first: 1 handled, 0 unsolicited\nended: 2 retracted, 0 unsolicited")
 			})
 		}
 	}
@@ -382,18 +384,18 @@
 // If responses were shifted by one call, the last of several calls with equal statuses has the wrong one; the
 // others are correct either way.
 func TestOfEqualOutcomesOnlyTheLastIsRetractedWhenTheConnectionEnds(t *testing.T) {
-	s, callsRead := newScriptedHarness(t)
-	s.confirmAfter = 10 * time.Second
-	conn := s.reusedConnection(callsRead)
+	h, callsRead := newScriptedHarness(t)
+	h.confirmAfter = 10 * time.Second
+	conn := h.reusedConnection(callsRead)
 	for _, status := range []int{200, 200, 503, 503} {
-		s.send()
-		s.awaitCall(callsRead)
+		h.send()
+		h.awaitCall(callsRead)
 		respond(conn, status, "")
-		s.runFor(settleTime + 20*time.Millisecond)
+		h.runFor(settleTime + 20*time.Millisecond)
 	}
-	s.pool.Ended()
+	h.pool.Ended()
 	conn.Close()
-	s.runFor(20 * time.Millisecond)
-	s.traceEvents("ended")
-	s.checkTrace("first: 1 handled, 0 unsolicited\nended: 2 confirmed, 4 confirmed, 5 retracted, 3 retracted, 0 unsolicited")
+	h.runFor(20 * time.Millisecond)
+	h.traceEvents("ended")
+	h.checkTrace("first: 1 handled, 0 unsolicited\nended: 2 confirmed, 4 confirmed, 5 retracted, 3 retracted, 0 unsolicited")
 }
