--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -10,121 +10,126 @@
 	"github.com/lesismal/nbio"
 )
 
-// One connection, as its owner uses it on the gathering goroutine.
-
-// Conn is one connection.
+// Conn is one TCP connection. Its methods are called on the owner goroutine only (see the package comment).
 type Conn struct {
-	net    *Net
-	owner  Owner
-	nb     *nbio.Conn // set before Opened is told
-	fd     int        // of nb, set with it
-	client bool       // accepted, and so read only as far as its owner asks
-	most   int64      // bytes read at an event, of a dialled connection
-	cancel context.CancelFunc
-
-	opened   bool // these are the gathering goroutine's
-	closed   bool // by its owner or from outside
-	finishes bool // its sending side ends once all is written
-	resumes  int  // bytes to be read once all is written
-	wanted   int64
-
-	left     atomic.Int64 // bytes that reached the kernel
-	spilling atomic.Bool  // bytes wait to be written
-	untold   atomic.Int32 // buffers that wait to be gathered
-	window   atomic.Int64 // bytes that the poller may read at the next event of a client's connection
-	reading  atomic.Bool  // the poller may be between reading bytes and queueing them
-	sealed   atomic.Bool  // the poller reads nothing more
+	net        *Net
+	owner      Owner
+	nb         *nbio.Conn // set before Opened is called
+	fd         int        // descriptor of nb, set together with it
+	client     bool       // accepted from a client: at most window bytes are read until its owner calls Resume
+	readBudget int64      // most bytes read at one event of a dialled connection
+	cancel     context.CancelFunc
+
+	// The owner goroutine's state.
+	opened            bool
+	closed            bool  // by its owner, by the peer or by an error
+	closeWritePending bool  // CloseWrite was called while bytes waited to be written
+	resumeBytes       int   // bytes that may be read once all is written
+	writeTotal        int64 // bytes given to Write so far
+
+	// State that is shared with nbio's goroutines.
+	sentTotal     atomic.Int64 // bytes passed to the kernel so far
+	writePending  atomic.Bool  // some written bytes have not been passed to the kernel yet
+	queuedBuffers atomic.Int32 // buffers that were read and not yet passed to the owner
+	window        atomic.Int64 // bytes that the poller may read at a client connection's next event
+	reading       atomic.Bool  // the poller may be reading bytes that are not queued yet
+	sealed        atomic.Bool  // the poller must not read any more
 }
 
-// Dial begins a connection on which answers hold at most so many bytes; its owner hears Opened or Closed.
-func (n *Net) Dial(address string, timeout time.Duration, most int, owner Owner) *Conn {
+// Dial starts to connect to an address. At most maxRead bytes are read per event: it must hold the largest response.
+// The owner's Opened or Closed follows.
+func (n *Net) Dial(address string, timeout time.Duration, maxRead int, owner Owner) *Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
-	c := &Conn{net: n, owner: owner, cancel: cancel, most: int64(most)}
+	c := &Conn{net: n, owner: owner, cancel: cancel, readBudget: int64(maxRead)}
 	go func() {
 		defer cancel()
 		dialer := net.Dialer{KeepAlive: -1}
-		plain, err := dialer.DialContext(ctx, "tcp", address)
+		dialled, err := dialer.DialContext(ctx, "tcp", address)
 		if err != nil {
-			n.put(event{conn: c, err: err})
+			n.enqueue(event{conn: c, err: err})
 			return
 		}
-		nb, err := nbio.NBConn(plain)
+		nb, err := nbio.NBConn(dialled)
 		if err != nil {
-			plain.Close()
-			n.put(event{conn: c, err: err})
+			dialled.Close()
+			n.enqueue(event{conn: c, err: err})
 			return
 		}
 		n.mu.Lock()
 		c.nb = nb
 		nb.SetSession(c)
 		n.mu.Unlock()
-		// The opening is told once the poller knows the connection: no close by its owner can come before.
+		// Opened is queued only after the poller has registered the connection, so its owner can't close it before
+		// that.
 		_, err = n.engine.AddConn(nb)
-		n.put(event{conn: c, opened: err == nil, err: err})
+		n.enqueue(event{conn: c, opened: err == nil, err: err})
 	}()
 	return c
 }
 
-// Local is the connection's address at this end, once it has come up.
+// Local returns the connection's local address. The connection must have been opened.
 func (c *Conn) Local() string { return c.nb.LocalAddr().String() }
 
-// Write sends bytes without waiting. An error is told by Closed, too.
+// Write sends bytes without blocking. Closed reports an error, too.
 func (c *Conn) Write(b []byte) error {
-	c.wanted += int64(len(b))
+	c.writeTotal += int64(len(b))
 	var err error
-	c.net.reuse.closing(c.fd, func() bool {
-		_, err = c.nb.Write(b) // which closes the connection when it fails or too much waits to be written
+	c.net.reuse.guardClose(c.fd, func() bool {
+		_, err = c.nb.Write(b) // closes the connection if it fails or too many bytes wait to be written
 		return err != nil
 	})
 	if err == nil && !c.Written() {
-		c.spilling.Store(true)
-		c.net.spilled[c] = true
+		c.writePending.Store(true)
+		c.net.pendingWrites[c] = true
 	}
 	return err
 }
 
-// Resume lets the poller read up to so many bytes more of a client's connection, once all that was written on it has left: a
-// client that does not take its answers is not read on. With 0 only the connection's end is heard.
+// Resume lets the poller read up to the given number of further bytes from a client's connection, as soon as all that
+// was written on it has been passed to the kernel: nothing more is read from a client that does not read its
+// responses. With 0, only the end of the connection is reported.
 func (c *Conn) Resume(bytes int) {
 	if c.closed {
 		return
 	}
-	if c.resumes = 0; !c.Written() {
-		c.resumes = bytes
+	if c.resumeBytes = 0; !c.Written() {
+		c.resumeBytes = bytes
 		return
 	}
 	c.window.Store(int64(bytes))
-	c.arm()
+	c.rearm()
 }
 
-// arm asks for the connection's next event.
-func (c *Conn) arm() {
+// rearm asks the poller for the connection's next event.
+func (c *Conn) rearm() {
 	c.nb.Lock()
 	defer c.nb.Unlock()
-	if gone, _ := c.nb.IsClosed(); !gone {
+	if isClosed, _ := c.nb.IsClosed(); !isClosed {
 		c.nb.ResetPollerEvent()
 	}
 }
 
-// Queued reports whether bytes that were read wait to be told to the owner.
-func (c *Conn) Queued() bool { return c.untold.Load() > 0 }
+// Queued reports whether bytes that were read have not been passed to the owner yet.
+func (c *Conn) Queued() bool { return c.queuedBuffers.Load() > 0 }
 
-// told reports whether the owner was told all that was read.
-func (c *Conn) told() bool { return !c.reading.Load() && !c.Queued() }
+// allDelivered reports whether all bytes that were read have been passed to the owner.
+func (c *Conn) allDelivered() bool { return !c.reading.Load() && !c.Queued() }
 
-// Written tells whether all bytes have left for the kernel.
-func (c *Conn) Written() bool { return c.left.Load() >= c.wanted }
+// Written reports whether all bytes that were written have been passed to the kernel.
+func (c *Conn) Written() bool { return c.sentTotal.Load() >= c.writeTotal }
 
-// Quiet tells whether nothing has come on a connection that its owner was not told yet: neither bytes nor an end.
+// Quiet reports whether nothing has arrived that the owner has not received yet: neither bytes nor the end of the
+// connection.
 func (c *Conn) Quiet() bool {
-	if !c.told() {
+	if !c.allDelivered() {
 		return false
 	}
 	quiet := false
-	c.descriptor(func(fd int) { quiet = nothingUnread(fd) })
+	c.withDescriptor(func(fd int) { quiet = nothingUnread(fd) })
 	return quiet
 }
 
+// nothingUnread reports whether the kernel holds neither unread bytes nor the end of the stream for a descriptor.
 func nothingUnread(fd int) bool {
 	for {
 		_, _, err := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -134,31 +139,33 @@
 	}
 }
 
-// CloseQuiet ends a connection unless bytes have been read from it, or lie in the kernel, that its owner was not told:
-// then it stays open, and its owner hears of them. Bytes that come later are never read.
+// CloseQuiet closes the connection and returns true unless bytes that its owner has not received have been read or
+// wait in the kernel: then the connection stays open and its owner receives them. Bytes that arrive after the close
+// are never read.
 func (c *Conn) CloseQuiet() bool {
 	if c.closed {
 		return true
 	}
 	quiet := false
-	c.descriptor(func(fd int) {
+	c.withDescriptor(func(fd int) {
 		c.sealed.Store(true)
-		quiet = c.told() && nothingUnread(fd)
+		quiet = c.allDelivered() && nothingUnread(fd)
 		c.sealed.Store(quiet)
 	})
 	if quiet {
 		c.Close()
 	} else {
-		c.arm() // the poller may have passed over an event meanwhile
+		c.rearm() // the poller may have skipped an event while the connection was sealed
 	}
 	return quiet
 }
 
-// descriptor hands out the connection's descriptor while it is sure to be its own.
-func (c *Conn) descriptor(use func(fd int)) {
+// withDescriptor calls use with the connection's descriptor, unless it is closed, and keeps it from being closed
+// meanwhile.
+func (c *Conn) withDescriptor(use func(fd int)) {
 	c.nb.Lock()
 	defer c.nb.Unlock()
-	if gone, _ := c.nb.IsClosed(); gone {
+	if isClosed, _ := c.nb.IsClosed(); isClosed {
 		return
 	}
 	if raw, err := c.nb.SyscallConn(); err == nil {
@@ -166,7 +173,7 @@
 	}
 }
 
-// Close ends a connection; its owner hears no more of it.
+// Close closes the connection; its owner is not called for it any more.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -175,23 +182,25 @@
 	if c.cancel != nil {
 		c.cancel()
 	}
-	if c.opened { // else it is closed when its opening is gathered
-		c.shut()
+	if c.opened { // otherwise Gather closes it when it receives the opened event
+		c.closeDescriptor()
 	}
 }
 
-// shut closes the descriptor, whose number is then kept from new connections for as long as the poller may hold its events.
-func (c *Conn) shut() {
-	c.net.reuse.closing(c.fd, func() bool {
+// closeDescriptor closes the descriptor. New connections can't use its number while the poller may still hold its
+// events.
+func (c *Conn) closeDescriptor() {
+	c.net.reuse.guardClose(c.fd, func() bool {
 		c.nb.Close()
 		return true
 	})
 }
 
-// CloseWrite ends the sending side once all that was written has left, so that the peer can read it.
+// CloseWrite shuts down the sending side once all written bytes have been passed to the kernel, so that the peer can
+// read them.
 func (c *Conn) CloseWrite() {
-	if c.finishes = !c.Written(); c.finishes {
+	if c.closeWritePending = !c.Written(); c.closeWritePending {
 		return
 	}
-	c.descriptor(func(fd int) { syscall.Shutdown(fd, syscall.SHUT_WR) })
+	c.withDescriptor(func(fd int) { syscall.Shutdown(fd, syscall.SHUT_WR) })
 }
--- a/internal/sockets/reading.go
+++ b/internal/sockets/reading.go
@@ -10,21 +10,20 @@
 	"github.com/lesismal/nbio"
 )
 
-// What the poller's goroutine reads, and how reading is ended.
-
-// read takes what has come on a connection, on the poller's goroutine. Of a client's connection it takes no more than the
-// owner has asked for, and the owner asks again. Of others it takes as much as an answer can hold: their other side may have
-// closed them behind it, which nbio acts on at once.
+// read reads what has arrived on a connection; it runs on the poller's goroutine. From a client's connection it reads
+// no more than the owner has allowed by Resume. From a dialled connection it reads up to the size of the largest
+// response at once: the peer may have closed the connection after it, and nbio closes the connection as soon as it
+// sees that.
 func (n *Net) read(c *Conn) {
 	if !n.beginRead(c) {
 		n.endRead(c)
 		return
 	}
-	budget := c.most
+	budget := c.readBudget
 	if c.client {
 		budget = c.window.Swap(0)
 	}
-	told := false
+	enqueued := false
 	for budget > 0 {
 		buffer := n.pool.Get()
 		size := min(cap(*buffer), int(budget))
@@ -36,29 +35,29 @@
 				c.nb.CloseWithError(cmp.Or(err, io.EOF))
 				return
 			}
-			if !told || !c.client {
+			if !enqueued || !c.client {
 				c.window.Store(budget)
-				c.arm()
+				c.rearm()
 			}
 			return
 		}
 		*buffer = (*buffer)[:count]
 		budget -= int64(count)
-		last := count < size || budget == 0
-		n.put(event{conn: c, data: buffer, last: last})
-		if told = true; last {
+		readEnds := count < size || budget == 0
+		n.enqueue(event{conn: c, data: buffer, readEnds: readEnds})
+		if enqueued = true; readEnds {
 			break
 		}
 	}
-	if !told {
+	if !enqueued {
 		n.endRead(c)
 	}
 	if !c.client {
-		c.arm()
+		c.rearm()
 	}
 }
 
-// readInto reads without waiting. No bytes and no error are the stream's end.
+// readInto reads without blocking. It returns 0 and no error at the end of the stream.
 func readInto(nb *nbio.Conn, b []byte) (int, error) {
 	for {
 		count, err := nb.Read(b)
@@ -68,35 +67,36 @@
 	}
 }
 
-// beginRead tells whether the poller may read a connection. Whoever seals one sets sealed before looking at reading, and the
-// poller sets reading before looking at sealed: at least one of them sees the other.
+// beginRead reports whether the poller may read a connection. The owner goroutine sets sealed before it checks
+// reading, and the poller sets reading before it checks sealed: at least one of them sees the other's change.
 func (n *Net) beginRead(c *Conn) bool {
-	n.reading.Add(1)
+	n.activeReads.Add(1)
 	c.reading.Store(true)
 	return !c.sealed.Load() && !n.sealed.Load()
 }
 
+// endRead marks the end of a read that beginRead started.
 func (n *Net) endRead(c *Conn) {
 	c.reading.Store(false)
-	n.reading.Add(-1)
+	n.activeReads.Add(-1)
 }
 
-// Seal ends all reading, once what was read is told to the owners. What comes from then on stays in the kernel, which
-// resets the connections at their end, so that the other side knows that it was not read.
+// Seal stops all reading and passes everything read before to the owners. Bytes that arrive later stay in the kernel,
+// which resets their connections when they are closed, so that the peers know that the bytes were not read.
 func (n *Net) Seal() {
 	n.sealed.Store(true)
 	for {
-		reading := n.reading.Load() > 0
+		reading := n.activeReads.Load() > 0
 		n.Gather()
 		if !reading {
 			return
 		}
-		time.Sleep(sealStep)
+		time.Sleep(sealPollInterval)
 	}
 }
 
-// sealStep is how long Seal waits for the poller before it looks again.
-const sealStep = 100 * time.Microsecond
+// sealPollInterval is how long Seal waits between checks whether the poller is still reading.
+const sealPollInterval = 100 * time.Microsecond
 
-// Unheard is the number of buffers that were read and never told, since their owner had closed the connection.
-func (n *Net) Unheard() int { return n.unheard }
+// Unheard returns the number of buffers that were read and then discarded because the owner had closed the connection.
+func (n *Net) Unheard() int { return n.discarded }
--- a/internal/sockets/reuse.go
+++ b/internal/sockets/reuse.go
@@ -12,32 +12,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// reuseGuard keeps a new connection from nbio's poller while that may still hold events of an earlier connection with the same
-// descriptor number. The poller takes many events from the kernel at a time and looks each up by number alone, so an event of a
-// connection that another goroutine has closed meanwhile would be applied to the one that got its number.
+// reuseGuard keeps a new connection from being registered with nbio's poller while the poller may still hold events
+// of an earlier connection with the same descriptor number. The poller takes many events from the kernel at a time
+// and looks up each by number alone. If another goroutine closes a connection meanwhile, its event would be applied
+// to the new connection that got the same number.
 //
-// A close on the poller's own goroutine needs no guard: there the event in hand is the connection's only one. After any other
-// close, a connection with the number waits until the poller has passed: it has been woken through an eventfd since then, so
-// all that it took from the kernel before has been dealt with. The kernel removes a closed descriptor from epoll before close
-// returns, so nothing of it comes later.
+// A close on the poller's own goroutine needs no guard: the event being processed is that connection's only one.
+// After any other close, a new connection with the number waits until the poller has completed a pass, that is, until
+// the poller has processed a wake-up through an eventfd that was requested after the close. By then it has processed
+// all events that it took from the kernel before. The kernel removes a closed descriptor from epoll before close
+// returns, so no later event names it.
 type reuseGuard struct {
-	mu      sync.Mutex // held during a close, so that a number is marked before it can be found free
-	passing *sync.Cond
-	waker   *nbio.Conn
-	needed  map[int]uint64 // by descriptor number: how many passes there must have been
-	begun   uint64         // passes asked for; at most one more than passed
-	passed  uint64
-	ended   bool
+	mu        sync.Mutex     // held during a close, so that a number is marked before the kernel can assign it again
+	advanced  *sync.Cond     // passed has grown, or stopped is set
+	waker     *nbio.Conn     // the eventfd
+	needed    map[int]uint64 // by descriptor number: the value that passed must reach
+	requested uint64         // passes requested so far; at most one more than passed
+	passed    uint64         // passes completed so far
+	stopped   bool           // await must not block any more
 }
 
+// newReuseGuard returns a guard that register has yet to connect to a poller.
 func newReuseGuard() *reuseGuard {
 	g := &reuseGuard{needed: map[int]uint64{}}
-	g.passing = sync.NewCond(&g.mu)
+	g.advanced = sync.NewCond(&g.mu)
 	return g
 }
 
-// watch lets the engine's poller watch the guard's eventfd.
-func (g *reuseGuard) watch(engine *nbio.Engine) error {
+// register creates the guard's eventfd and adds it to the engine's poller.
+func (g *reuseGuard) register(engine *nbio.Engine) error {
 	fd, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
 		return os.NewSyscallError("eventfd", err)
@@ -54,16 +57,17 @@
 	return err
 }
 
-// closing runs what closes a connection's descriptor or may close it; shut reports whether it did.
-func (g *reuseGuard) closing(fd int, shut func() bool) {
+// guardClose calls closeDescriptor, which reports whether it closed the connection's descriptor, and marks the number
+// if so.
+func (g *reuseGuard) guardClose(fd int, closeDescriptor func() bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if shut() {
-		g.needed[fd] = g.begun + 1
+	if closeDescriptor() {
+		g.needed[fd] = g.requested + 1
 	}
 }
 
-// await waits until the poller holds no event of an earlier connection with a descriptor's number.
+// await blocks until the poller holds no event of an earlier connection with the same descriptor number.
 func (g *reuseGuard) await(fd int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -71,17 +75,17 @@
 	if !marked {
 		return
 	}
-	for g.passed < needed && !g.ended {
-		if g.begun == g.passed {
-			g.begun++
+	for g.passed < needed && !g.stopped {
+		if g.requested == g.passed {
+			g.requested++
 			g.wake()
 		}
-		g.passing.Wait()
+		g.advanced.Wait()
 	}
 	delete(g.needed, fd)
 }
 
-// wake makes the eventfd readable.
+// wake makes the eventfd readable, which wakes the poller.
 func (g *reuseGuard) wake() {
 	one := binary.NativeEndian.AppendUint64(nil, 1)
 	for {
@@ -91,8 +95,8 @@
 	}
 }
 
-// woken tells, on the poller's goroutine, that it has passed.
-func (g *reuseGuard) woken() {
+// onWake records that the poller has completed a pass; it runs on the poller's goroutine.
+func (g *reuseGuard) onWake() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var count [8]byte
@@ -101,23 +105,23 @@
 		_, err = unix.Read(g.waker.Hash(), count[:])
 	}
 	if err == nil {
-		g.passed = g.begun
-		g.passing.Broadcast()
+		g.passed = g.requested
+		g.advanced.Broadcast()
 	}
 }
 
-// close frees the eventfd, which nbio leaves open as it is no connection. The poller must have ended.
+// close closes the eventfd, which nbio leaves open because it is no network connection. The poller must have stopped.
 func (g *reuseGuard) close() { unix.Close(g.waker.Hash()) }
 
-// stop lets all that wait go.
+// stop releases all callers that block in await.
 func (g *reuseGuard) stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ended = true
-	g.passing.Broadcast()
+	g.stopped = true
+	g.advanced.Broadcast()
 }
 
-// eventConn is an eventfd in the form in which nbio takes what it is to watch.
+// eventConn wraps an eventfd as a net.Conn, the only type that nbio can poll.
 type eventConn struct{ *os.File }
 
 var (
@@ -125,8 +129,8 @@
 	_ syscall.Conn = eventConn{}
 )
 
-// LocalAddr is nothing: an eventfd has no address.
+// LocalAddr returns nil: an eventfd has no address.
 func (eventConn) LocalAddr() net.Addr { return nil }
 
-// RemoteAddr is nothing: an eventfd has no address.
+// RemoteAddr returns nil: an eventfd has no address.
 func (eventConn) RemoteAddr() net.Addr { return nil }
--- a/internal/sockets/reuse_test.go
+++ b/internal/sockets/reuse_test.go
@@ -11,37 +11,39 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// ends notes which connections opened, and which of them ended.
-type ends struct {
+// openCloseRecorder records which connections were opened, and which of them were closed by other than their owner.
+type openCloseRecorder struct {
 	opened []*Conn
 	closed map[*Conn]error
 }
 
-func (o *ends) Opened(c *Conn)            { o.opened = append(o.opened, c) }
-func (o *ends) Data(*Conn, []byte)        {}
-func (o *ends) Closed(c *Conn, err error) { o.closed[c] = err }
+func (o *openCloseRecorder) Opened(c *Conn)            { o.opened = append(o.opened, c) }
+func (o *openCloseRecorder) Data(*Conn, []byte)        {}
+func (o *openCloseRecorder) Closed(c *Conn, err error) { o.closed[c] = err }
 
-// reuseStage is a net whose poller can be held with events in hand: it waits as soon as one buffer has not been gathered.
-type reuseStage struct {
+// reuseFixture has a Net whose poller can be blocked while it holds events: it blocks as soon as one buffer waits in
+// the queue.
+type reuseFixture struct {
 	t     *testing.T
 	net   *Net
-	owner *ends
+	owner *openCloseRecorder
 }
 
-func newReuseStage(t *testing.T) *reuseStage {
-	l := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
-	l.Queued = 0
-	s := &reuseStage{t: t, owner: &ends{closed: map[*Conn]error{}}}
+// newReuseFixture starts the Net, whose limit of queued bytes is 0.
+func newReuseFixture(t *testing.T) *reuseFixture {
+	lim := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
+	lim.Queued = 0
+	s := &reuseFixture{t: t, owner: &openCloseRecorder{closed: map[*Conn]error{}}}
 	var err error
-	if s.net, err = Start("127.0.0.1:0", l, buffers.NewPool(l.Buffer), s.owner); err != nil {
+	if s.net, err = Start("127.0.0.1:0", lim, buffers.NewPool(lim.Buffer), s.owner); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.net.Stop)
 	return s
 }
 
-// connect opens a client's connection and returns both ends.
-func (s *reuseStage) connect() (*net.TCPConn, *Conn) {
+// connect opens a client connection and returns both ends.
+func (s *reuseFixture) connect() (*net.TCPConn, *Conn) {
 	client, err := net.Dial("tcp", s.net.engine.Addrs[0])
 	if err != nil {
 		s.t.Fatal(err)
@@ -50,8 +52,8 @@
 	return client.(*net.TCPConn), s.nextOpened()
 }
 
-// nextOpened gathers until one more connection has opened.
-func (s *reuseStage) nextOpened() *Conn {
+// nextOpened calls Gather until one more connection has been opened, and returns it.
+func (s *reuseFixture) nextOpened() *Conn {
 	s.t.Helper()
 	before := len(s.owner.opened)
 	for range 1000 {
@@ -65,40 +67,42 @@
 	return nil
 }
 
-const settle = 50 * time.Millisecond // for what the kernel and the poller do by themselves
+const settleTime = 50 * time.Millisecond // time for the kernel and the poller to process what was sent
 
+// write sends one byte and waits until the kernel and the poller have processed it.
 func write(t *testing.T, c net.Conn) {
 	t.Helper()
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 }
 
-// holdWithResetOf lets the poller take the end of a client's connection from the kernel and stand still before it looks at it.
-func (s *reuseStage) holdWithResetOf(client *net.TCPConn, busy, other net.Conn) {
-	write(s.t, busy)  // not gathered
-	write(s.t, busy)  // here the poller waits for room
+// holdPollerBeforeReset makes the poller take the reset of a client's connection from the kernel and block before
+// processing it.
+func (s *reuseFixture) holdPollerBeforeReset(client *net.TCPConn, busy, other net.Conn) {
+	write(s.t, busy)  // stays in the queue
+	write(s.t, busy)  // the poller blocks here because the queue is full
 	write(s.t, other) // the poller takes this next, together with the reset
 	client.SetLinger(0)
 	client.Close()
-	time.Sleep(settle)
-	s.net.Gather() // the poller goes on, as far as the other's byte
-	time.Sleep(settle)
+	time.Sleep(settleTime)
+	s.net.Gather() // the poller continues until it has read the other connection's byte
+	time.Sleep(settleTime)
 }
 
-// Guards against the end of one connection ending another that got its descriptor's number.
+// Guards against an event of a closed connection that closes a new connection with the same descriptor number.
 func TestEventsOfAClosedConnectionDoNotEndTheNextOneWithItsNumber(t *testing.T) {
-	closes := map[string]func(c *Conn, list int){
+	closes := map[string]func(c *Conn, maxWriteBuffer int){
 		"closed by its owner":   func(c *Conn, _ int) { c.Close() },
 		"by a write that fails": func(c *Conn, _ int) { c.Write([]byte("answer")) },
 		"by a write too large":  func(c *Conn, list int) { c.Write(make([]byte, list+1)) },
 	}
-	for how, closeIt := range closes {
+	for cause, closeConn := range closes {
 		for _, dialled := range []bool{false, true} {
-			name := how + ", next accepted"
+			name := cause + ", next accepted"
 			if dialled {
-				name = how + ", next dialled"
+				name = cause + ", next dialled"
 			}
 			t.Run(name, func(t *testing.T) {
 				receiver, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,34 +110,37 @@
 					t.Fatal(err)
 				}
 				defer receiver.Close()
-				s := newReuseStage(t)
+				s := newReuseFixture(t)
 				busy, _ := s.connect()
 				other, _ := s.connect()
 				client, old := s.connect()
-				s.holdWithResetOf(client, busy, other)
-				closeIt(old, s.net.limits.List)
-				// Two numbers below the old one are free: a socket and its copy, or both ends and the copy, come to the old one.
+				s.holdPollerBeforeReset(client, busy, other)
+				closeConn(old, s.net.limits.List)
+				// Two descriptor numbers below the old one are free, so the third new descriptor gets the old number:
+				// a file, a dialled socket and its copy; or both ends of an accepted connection and the copy of the
+				// accepted end.
 				var next *Conn
 				if dialled {
-					taken, err := os.Open(os.DevNull)
+					devNull, err := os.Open(os.DevNull)
 					if err != nil {
 						t.Fatal(err)
 					}
-					defer taken.Close()
+					defer devNull.Close()
 					s.net.Dial(receiver.Addr().String(), time.Second, 1, s.owner)
 					next = s.nextOpened()
 				} else {
 					_, next = s.connect()
 				}
 				if next.fd != old.fd {
-					t.Fatalf("the next connection has number %d, the one before it %d: nothing is tried", next.fd, old.fd)
+					t.Fatalf("the next connection has descriptor %d, want the old one, %d: the test would be void",
+						next.fd, old.fd)
 				}
 				for range 10 {
-					time.Sleep(settle / 10)
+					time.Sleep(settleTime / 10)
 					s.net.Gather()
 				}
 				if why, ended := s.owner.closed[next]; ended {
-					t.Errorf("the next connection was ended, though nobody had closed it: %v", why)
+					t.Errorf("the next connection was closed by an event of the old one: %v", why)
 				}
 			})
 		}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,6 @@
-// Package sockets joins nbio's event loop to the sender's own: whatever happens on a connection waits in one
-// queue until the sender's goroutine gathers it, and is then told to the connection's owner there.
+// Package sockets connects nbio's event loop to the sender's own. nbio's goroutines (the poller, the listener and the
+// dialling goroutines) put everything that happens on a connection into one queue. The owner goroutine, which is the
+// one that runs the sender's loop, empties the queue by calling Gather, which calls the connections' owners.
 package sockets
 
 import (
@@ -15,99 +16,103 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// Owner is told what happens on its connections, on the gathering goroutine only.
+// Owner handles the events of its connections. Its methods are called by Gather, on the owner goroutine only.
 type Owner interface {
+	// Opened reports that the connection is established.
 	Opened(c *Conn)
+	// Data passes on bytes that were read. They are valid only during the call.
 	Data(c *Conn, b []byte)
-	// Closed tells the end of a connection that the owner did not close itself, or that never came up.
+	// Closed reports the end of a connection that the owner did not close itself, or that could not be established.
 	Closed(c *Conn, err error)
 }
 
+// event is something that happened on a connection and that Gather has yet to handle.
 type event struct {
-	conn   *Conn
-	opened bool
-	wrote  bool    // bytes that waited have left
-	data   *[]byte // nil: opened, wrote or closed
-	last   bool    // the poller reads no more of this connection for now
-	err    error
+	conn     *Conn
+	opened   bool
+	written  bool    // bytes that waited to be written have been passed to the kernel
+	data     *[]byte // bytes that were read; nil for all other kinds of event
+	readEnds bool    // the poller reads no more from this connection for now
+	err      error
 }
 
-// Net is all connections of the process.
+// Net holds all connections of the process and the queue of their events.
 type Net struct {
 	engine  *nbio.Engine
 	reuse   *reuseGuard
 	limits  limits.Limits
 	pool    *buffers.Pool
-	clients int // under mu
+	clients int // open client connections; guarded by mu
 
-	mu     sync.Mutex
-	room   *sync.Cond
-	queue  []event
-	queued int
-	spare  []event
-	ready  chan struct{}
-	ended  bool
+	mu          sync.Mutex
+	spaceFreed  *sync.Cond    // a client connection was closed, the queue was emptied, or the Net stops
+	queue       []event       // events for the next Gather
+	queuedBytes int           // capacity of the buffers in queue
+	spare       []event       // empty slice that replaces queue in Gather, so that two arrays are reused
+	ready       chan struct{} // see Ready
+	stopped     bool
 
-	sealed  atomic.Bool  // nothing more is read on any connection
-	reading atomic.Int32 // connections that the poller may be reading
+	sealed      atomic.Bool  // nothing more may be read on any connection
+	activeReads atomic.Int32 // connections that the poller may be reading
 
-	unheard int            // these are the gathering goroutine's: see Unheard
-	spilled map[*Conn]bool // connections with bytes that wait to be written
+	discarded     int            // see Unheard; used on the owner goroutine only
+	pendingWrites map[*Conn]bool // connections with bytes that wait to be written; used on the owner goroutine only
 }
 
-// Start listens on an address; clients' connections belong to accepted.
-func Start(address string, l limits.Limits, pool *buffers.Pool, accepted Owner) (*Net, error) {
-	n := &Net{limits: l, pool: pool, ready: make(chan struct{}, 1), reuse: newReuseGuard(),
-		spilled: map[*Conn]bool{}}
-	n.room = sync.NewCond(&n.mu)
+// Start listens on an address. Accepted connections, which are the clients', belong to acceptOwner.
+func Start(address string, lim limits.Limits, pool *buffers.Pool, acceptOwner Owner) (*Net, error) {
+	n := &Net{limits: lim, pool: pool, ready: make(chan struct{}, 1), reuse: newReuseGuard(),
+		pendingWrites: map[*Conn]bool{}}
+	n.spaceFreed = sync.NewCond(&n.mu)
 	logging.SetLevel(logging.LevelNone)
-	nbio.MaxOpenFiles = l.Clients + l.Receivers + 1024
+	nbio.MaxOpenFiles = lim.Clients + lim.Receivers + 1024
 	n.engine = nbio.NewEngine(nbio.Config{
 		Network: nbio.NETWORK_TCP, Addrs: []string{address}, NPoller: 1,
-		ReadBufferSize: l.Buffer, MaxWriteBufferSize: l.List,
-		// An event is told once and then not again until it is asked for: what is not read yet waits in the kernel.
+		ReadBufferSize: lim.Buffer, MaxWriteBufferSize: lim.List,
+		// An event is reported once and not again until rearm asks for it: unread bytes wait in the kernel.
 		EpollMod: nbio.EPOLLET, EPOLLONESHOT: nbio.EPOLLONESHOT,
 		Listen: func(network, addr string) (net.Listener, error) {
 			config := net.ListenConfig{KeepAlive: -1}
 			listener, err := config.Listen(context.Background(), network, addr)
-			return &capped{listener, n}, err
+			return &cappedListener{listener, n}, err
 		},
 	})
-	n.engine.OnOpen(func(nb *nbio.Conn) { n.open(nb, accepted) })
+	n.engine.OnOpen(func(nb *nbio.Conn) { n.connOpened(nb, acceptOwner) })
 	n.engine.OnRead(func(nb *nbio.Conn) {
 		switch session := n.session(nb).(type) {
 		case *reuseGuard:
-			session.woken()
+			session.onWake()
 			nb.ResetPollerEvent()
 		case *Conn:
 			n.read(session)
 		}
 	})
 	n.engine.OnClose(func(nb *nbio.Conn, err error) {
-		if c, is := n.session(nb).(*Conn); is {
-			n.closed(c, c.owner == accepted, err)
+		if c, known := n.session(nb).(*Conn); known {
+			n.connClosed(c, c.owner == acceptOwner, err)
 		}
 	})
 	n.engine.OnWrittenSize(func(nb *nbio.Conn, _ []byte, size int) {
 		c := nb.Session().(*Conn)
-		c.left.Add(int64(size))
-		if c.spilling.Load() {
-			n.put(event{conn: c, wrote: true})
+		c.sentTotal.Add(int64(size))
+		if c.writePending.Load() {
+			n.enqueue(event{conn: c, written: true})
 		}
 	})
 	n.engine.OnAcceptError(func(error) { time.Sleep(10 * time.Millisecond) })
 	if err := n.engine.Start(); err != nil {
 		return nil, err
 	}
-	if err := n.reuse.watch(n.engine); err != nil {
+	if err := n.reuse.register(n.engine); err != nil {
 		n.engine.Stop()
 		return nil, err
 	}
 	return n, nil
 }
 
-// open prepares a connection before the poller knows it: one without a session was accepted and belongs to accepted.
-func (n *Net) open(nb *nbio.Conn, accepted Owner) {
+// connOpened prepares a connection before it is registered with the poller. One without a session was accepted from a
+// client and belongs to acceptOwner.
+func (n *Net) connOpened(nb *nbio.Conn, acceptOwner Owner) {
 	if nb.Session() == any(n.reuse) {
 		return
 	}
@@ -115,61 +120,64 @@
 	n.reuse.await(fd)
 	if c, dialled := nb.Session().(*Conn); dialled {
 		c.fd = fd
-		return // told by Dial, once the poller knows it
+		return // Dial queues its event, once the poller has registered it
 	}
 	n.mu.Lock()
 	n.clients++
 	n.mu.Unlock()
-	c := &Conn{net: n, owner: accepted, nb: nb, fd: fd, client: true}
+	c := &Conn{net: n, owner: acceptOwner, nb: nb, fd: fd, client: true}
 	c.window.Store(int64(n.limits.Window))
 	nb.SetSession(c)
-	n.put(event{conn: c, opened: true})
+	n.enqueue(event{conn: c, opened: true})
 }
 
-// closed tells that the poller knows a connection no more.
-func (n *Net) closed(c *Conn, client bool, err error) {
+// connClosed queues the end of a connection that the poller has removed.
+func (n *Net) connClosed(c *Conn, client bool, err error) {
 	if client {
 		n.mu.Lock()
 		n.clients--
-		n.room.Broadcast()
+		n.spaceFreed.Broadcast()
 		n.mu.Unlock()
 	}
-	n.put(event{conn: c, err: err})
+	n.enqueue(event{conn: c, err: err})
 }
 
-// session is what a connection of nbio's stands for. Its goroutines learn of a dialled one through the kernel, which orders
-// nothing in memory: the lock does, against the goroutine that dialled it.
+// session returns what a connection of nbio's was registered for: a *Conn or the *reuseGuard. nbio's goroutines learn
+// of a dialled connection through the kernel, which gives no memory ordering with the goroutine that dialled it: the
+// lock does.
 func (n *Net) session(nb *nbio.Conn) any {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return nb.Session()
 }
 
-// capped lets connections wait in the kernel while there are too many: their owner makes room.
-type capped struct {
+// cappedListener leaves new connections in the kernel's queue while too many are open. Their owner has to close some.
+type cappedListener struct {
 	net.Listener
 	net *Net
 }
 
-func (l *capped) Accept() (net.Conn, error) {
+// Accept waits until fewer than the permitted number of client connections are open, then accepts the next one.
+func (l *cappedListener) Accept() (net.Conn, error) {
 	n := l.net
 	n.mu.Lock()
-	for n.clients >= n.limits.Clients && !n.ended {
-		n.room.Wait()
+	for n.clients >= n.limits.Clients && !n.stopped {
+		n.spaceFreed.Wait()
 	}
 	n.mu.Unlock()
-	return l.Listener.Accept() // counted by OnOpen, on this goroutine
+	return l.Listener.Accept() // connOpened counts it, on this same goroutine
 }
 
-func (n *Net) put(e event) {
+// enqueue adds an event to the queue. With data it blocks while too many bytes wait in the queue.
+func (n *Net) enqueue(e event) {
 	n.mu.Lock()
-	for e.data != nil && n.queued > n.limits.Queued && !n.ended {
-		n.room.Wait() // only the poller comes here, never the gathering goroutine
+	for e.data != nil && n.queuedBytes > n.limits.Queued && !n.stopped {
+		n.spaceFreed.Wait() // only the poller can block here, never the owner goroutine
 	}
 	if e.data != nil {
-		n.queued += cap(*e.data)
-		e.conn.untold.Add(1)
-		if e.last {
+		n.queuedBytes += cap(*e.data)
+		e.conn.queuedBuffers.Add(1)
+		if e.readEnds {
 			n.endRead(e.conn)
 		}
 	}
@@ -181,34 +189,34 @@
 	}
 }
 
-// Ready says that there is something to gather.
+// Ready returns a channel that receives a value when there are events for Gather.
 func (n *Net) Ready() <-chan struct{} { return n.ready }
 
-// Gather tells the owners what has happened since the last time.
+// Gather passes all queued events to the connections' owners and continues writes that were incomplete.
 func (n *Net) Gather() {
 	n.mu.Lock()
 	events := n.queue
-	n.queue, n.queued, n.spare = n.spare[:0], 0, nil
-	n.room.Broadcast()
+	n.queue, n.queuedBytes, n.spare = n.spare[:0], 0, nil
+	n.spaceFreed.Broadcast()
 	n.mu.Unlock()
 	for _, e := range events {
 		c := e.conn
 		if e.data != nil {
-			c.untold.Add(-1)
+			c.queuedBuffers.Add(-1)
 		}
 		switch {
 		case e.opened && c.closed:
-			c.shut() // its owner gave up while it came up
+			c.closeDescriptor() // its owner closed it while it was being established
 		case c.closed:
 			if e.data != nil {
-				n.unheard++
+				n.discarded++
 			}
 		case e.opened:
 			c.opened = true
 			c.owner.Opened(c)
 		case e.data != nil:
 			c.owner.Data(c, *e.data)
-		case e.wrote: // told below
+		case e.written: // continueWriting handles it below
 		default:
 			c.closed = true
 			c.owner.Closed(c, e.err)
@@ -219,36 +227,36 @@
 	}
 	clear(events)
 	n.spare = events
-	for c := range n.spilled {
-		n.writeOn(c)
+	for c := range n.pendingWrites {
+		n.continueWriting(c)
 	}
 }
 
-// writeOn goes on with a connection whose bytes waited to be written. nbio asks for no further event where it could write only
-// a part.
-func (n *Net) writeOn(c *Conn) {
+// continueWriting asks for the next event of a connection with bytes left to write, because nbio does not do so after
+// a partial write. When no bytes are left, it performs the CloseWrite or Resume that waited for this.
+func (n *Net) continueWriting(c *Conn) {
 	if !c.closed && !c.Written() {
-		c.arm()
+		c.rearm()
 		return
 	}
-	delete(n.spilled, c)
-	c.spilling.Store(false)
+	delete(n.pendingWrites, c)
+	c.writePending.Store(false)
 	if c.closed {
 		return
 	}
-	if c.finishes {
+	if c.closeWritePending {
 		c.CloseWrite()
 	}
-	if c.resumes > 0 {
-		c.Resume(c.resumes)
+	if c.resumeBytes > 0 {
+		c.Resume(c.resumeBytes)
 	}
 }
 
-// Stop ends everything.
+// Stop closes the listener and all connections, and stops nbio's goroutines.
 func (n *Net) Stop() {
 	n.mu.Lock()
-	n.ended = true
-	n.room.Broadcast()
+	n.stopped = true
+	n.spaceFreed.Broadcast()
 	n.mu.Unlock()
 	n.reuse.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -11,36 +11,37 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// closer ends each connection at about the time at which its client sends on it.
-type closer struct {
-	end    func(*Conn)
-	opened []*Conn
+// closingOwner closes each connection at about the time at which its client sends on it.
+type closingOwner struct {
+	closeConn func(*Conn)
+	opened    []*Conn
 }
 
-func (o *closer) Opened(c *Conn)      { o.opened = append(o.opened, c) }
-func (o *closer) Data(*Conn, []byte)  {}
-func (o *closer) Closed(*Conn, error) {}
-func (o *closer) endAll()             { opened := o.opened; o.opened = nil; o.each(opened) }
-func (o *closer) each(opened []*Conn) {
+func (o *closingOwner) Opened(c *Conn)      { o.opened = append(o.opened, c) }
+func (o *closingOwner) Data(*Conn, []byte)  {}
+func (o *closingOwner) Closed(*Conn, error) {}
+func (o *closingOwner) closeOpened()        { opened := o.opened; o.opened = nil; o.closeEach(opened) }
+func (o *closingOwner) closeEach(opened []*Conn) {
 	for _, c := range opened {
-		o.end(c)
+		o.closeConn(c)
 	}
 }
 
-// crossings plays clients that send at the moment in which their connections end, and returns how many were read unheard.
-func crossings(t *testing.T, count int, end func(*Conn)) int {
-	l := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
-	owner := &closer{end: end}
-	n, err := Start("127.0.0.1:0", l, buffers.NewPool(l.Buffer), owner)
+// raceCloseWithSend runs clients that send at the moment at which their connections are closed, and returns the
+// number of requests that were read and then discarded.
+func raceCloseWithSend(t *testing.T, count int, closeConn func(*Conn)) int {
+	lim := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
+	owner := &closingOwner{closeConn: closeConn}
+	n, err := Start("127.0.0.1:0", lim, buffers.NewPool(lim.Buffer), owner)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Stop()
 	address := n.engine.Addrs[0]
-	const together = 8
-	for range count / together {
+	const parallel = 8
+	for range count / parallel {
 		var clients sync.WaitGroup
-		for range together {
+		for range parallel {
 			clients.Add(1)
 			go func() {
 				defer clients.Done()
@@ -57,7 +58,7 @@
 		}
 		for until := time.Now().Add(2 * time.Millisecond); time.Now().Before(until); {
 			n.Gather()
-			owner.endAll()
+			owner.closeOpened()
 		}
 		clients.Wait()
 	}
@@ -65,31 +66,34 @@
 	return n.Unheard()
 }
 
+// Guards against a connection that is closed after a request was read from it and before its owner received the
+// request.
 func TestConnectionIsNotClosedOverARequestThatWasRead(t *testing.T) {
-	ready := func(c *Conn) { // at the moment in which the client sends
+	awaitSend := func(c *Conn) { // busy-waits until about the moment at which the client sends
 		for until := time.Now().Add(150 * time.Microsecond); time.Now().Before(until); {
 		}
 	}
-	if unheard := crossings(t, 4000, func(c *Conn) { ready(c); c.CloseQuiet() }); unheard > 0 {
-		t.Errorf("%d requests were read, and their connections closed", unheard)
+	if discarded := raceCloseWithSend(t, 4000, func(c *Conn) { awaitSend(c); c.CloseQuiet() }); discarded > 0 {
+		t.Errorf("%d requests were read and discarded because their connections were closed", discarded)
 	}
 }
 
-// collector takes what is told, and lets a client's connection be read on as it is told to.
+// collector counts the bytes that it receives and calls onData after each buffer, which may resume reading.
 type collector struct {
-	conn  *Conn
-	told  int
-	ended bool
-	reads func(c *Conn)
+	conn     *Conn
+	received int
+	ended    bool
+	onData   func(c *Conn)
 }
 
 func (o *collector) Opened(c *Conn)          { o.conn = c }
-func (o *collector) Data(c *Conn, b []byte)  { o.told += len(b); o.reads(c) }
+func (o *collector) Data(c *Conn, b []byte)  { o.received += len(b); o.onData(c) }
 func (o *collector) Closed(c *Conn, _ error) { o.ended = true }
 
-func startCollecting(t *testing.T, o *collector) *Net {
-	l := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
-	n, err := Start("127.0.0.1:0", l, buffers.NewPool(l.Buffer), o)
+// startCollector starts a Net whose accepted connections belong to a collector.
+func startCollector(t *testing.T, o *collector) *Net {
+	lim := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
+	n, err := Start("127.0.0.1:0", lim, buffers.NewPool(lim.Buffer), o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,18 +101,18 @@
 	return n
 }
 
-// gatherUntil gathers until something holds, for two seconds at most.
-func gatherUntil(n *Net, holds func() bool) bool {
+// gatherUntil calls Gather until a condition holds, for two seconds at most, and reports whether it held.
+func gatherUntil(n *Net, condition func() bool) bool {
 	for until := time.Now().Add(2 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if n.Gather(); holds() {
+		if n.Gather(); condition() {
 			return true
 		}
 	}
 	return false
 }
 
-// sendMuch plays a client that sends 1 MiB at once.
-func sendMuch(t *testing.T, n *Net) net.Conn {
+// sendMiB connects a client that sends 1 MiB at once.
+func sendMiB(t *testing.T, n *Net) net.Conn {
 	client, err := net.Dial("tcp", n.engine.Addrs[0])
 	if err != nil {
 		t.Fatal(err)
@@ -118,31 +122,31 @@
 	return client
 }
 
-// Guards against memory that grows with what clients send at once.
+// Guards against memory use that grows with the amount that a client sends at once.
 func TestClientIsReadOnlyAsFarAsItsOwnerAsks(t *testing.T) {
-	o := &collector{reads: func(*Conn) {}}
-	n := startCollecting(t, o)
-	sendMuch(t, n)
+	o := &collector{onData: func(*Conn) {}}
+	n := startCollector(t, o)
+	sendMiB(t, n)
 	never := func() bool { return false }
-	if gatherUntil(n, never); o.told != n.limits.Window {
-		t.Fatalf("%d bytes were read of a client of which %d may be", o.told, n.limits.Window)
+	if gatherUntil(n, never); o.received != n.limits.Window {
+		t.Fatalf("%d bytes were read from a client, want %d", o.received, n.limits.Window)
 	}
-	o.reads = func(c *Conn) { c.Resume(20_000) }
-	if o.conn.Resume(20_000); !gatherUntil(n, func() bool { return o.told == 1<<20 }) {
-		t.Errorf("%d of %d bytes were read on", o.told, 1<<20)
+	o.onData = func(c *Conn) { c.Resume(20_000) }
+	if o.conn.Resume(20_000); !gatherUntil(n, func() bool { return o.received == 1<<20 }) {
+		t.Errorf("%d of %d bytes were read after Resume", o.received, 1<<20)
 	}
 }
 
-// Guards against answers that pile up for a client that sends on and takes none.
+// Guards against responses that accumulate for a client that keeps sending and reads none of them.
 func TestClientThatTakesNoAnswersIsNotReadOn(t *testing.T) {
-	const answer, request = 64 << 10, 1000
+	const responseSize, requestSize = 64 << 10, 1000
 	o := &collector{}
-	o.reads = func(c *Conn) { c.Write(make([]byte, answer)); c.Resume(request) }
-	n := startCollecting(t, o)
-	client := sendMuch(t, n)
+	o.onData = func(c *Conn) { c.Write(make([]byte, responseSize)); c.Resume(requestSize) }
+	n := startCollector(t, o)
+	client := sendMiB(t, n)
 	gatherUntil(n, func() bool { return false })
-	if held := o.conn.wanted - o.conn.left.Load(); held > answer || o.ended {
-		t.Fatalf("%d bytes wait to be written, ended: %v", held, o.ended)
+	if unsent := o.conn.writeTotal - o.conn.sentTotal.Load(); unsent > responseSize || o.ended {
+		t.Fatalf("%d bytes wait to be written, want at most one response; connection closed: %v", unsent, o.ended)
 	}
 	go func() {
 		for buffer := make([]byte, 1<<20); ; {
@@ -151,13 +155,14 @@
 			}
 		}
 	}()
-	if !gatherUntil(n, func() bool { return o.told == 1<<20 && o.conn.Written() }) {
-		t.Errorf("%d of %d bytes were read once the client took its answers", o.told, 1<<20)
+	if !gatherUntil(n, func() bool { return o.received == 1<<20 && o.conn.Written() }) {
+		t.Errorf("%d of %d bytes were read after the client began to read its responses", o.received, 1<<20)
 	}
 }
 
-// Guards against the loss of what a peer sent before it closed (a long list of receivers with Connection: close).
-func TestAllThatAPeerSentBeforeItClosedIsTold(t *testing.T) {
+// Guards against the loss of bytes that a peer sent before it closed the connection, such as a long receiver list
+// that is sent with Connection: close.
+func TestAllThatAPeerSentBeforeItClosedIsDelivered(t *testing.T) {
 	const size = 1 << 20
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -170,11 +175,11 @@
 			peer.Close()
 		}
 	}()
-	o := &collector{reads: func(*Conn) {}}
-	n := startCollecting(t, o)
+	o := &collector{onData: func(*Conn) {}}
+	n := startCollector(t, o)
 	n.Dial(listener.Addr().String(), time.Second, size, o)
-	time.Sleep(100 * time.Millisecond) // all has come before it is gathered
-	if gatherUntil(n, func() bool { return o.ended }); o.told != size {
-		t.Errorf("%d of %d bytes were told before the end", o.told, size)
+	time.Sleep(100 * time.Millisecond) // all bytes and the close arrive before the first Gather
+	if gatherUntil(n, func() bool { return o.ended }); o.received != size {
+		t.Errorf("%d of %d bytes were delivered before the connection ended", o.received, size)
 	}
 }
