--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,4 +1,5 @@
-// Package http1 reads and writes HTTP/1.1 messages. It knows nothing of sockets: bytes go in as they come.
+// Package http1 parses and writes HTTP/1.1 messages. It does no I/O: the parser is fed with bytes in pieces of any
+// size.
 package http1
 
 import (
@@ -10,13 +11,14 @@
 	"chuteweir.example/chuteweir/internal/buffers"
 )
 
-// Fault is what is wrong with a message, with the status that tells so.
+// Fault is the error for a message that can't be parsed, with the HTTP status to answer it with.
 type Fault struct {
 	Status int
-	What   string
+	Reason string
 }
 
-func (f *Fault) Error() string { return f.What }
+// Error returns the reason.
+func (f *Fault) Error() string { return f.Reason }
 
 var (
 	errHead      = &Fault{431, "head too large"}
@@ -24,23 +26,23 @@
 	errMalformed = &Fault{400, "malformed message"}
 	errVersion   = &Fault{505, "version not supported"}
 	errEncoding  = &Fault{501, "transfer encoding not supported"}
-	// ErrCut says that the connection ended within a message.
-	ErrCut = errors.New("message cut short")
+	// ErrTruncated reports that the connection ended within a message.
+	ErrTruncated = errors.New("message cut short")
 )
 
-// Field is one header; its name is in lower case.
+// Field is one header field. The parser converts its name to lower case.
 type Field struct{ Name, Value string }
 
-// Message is a request or an answer.
+// Message is a request or a response.
 type Message struct {
 	Method, Path string // of a request
-	Status       int    // of an answer
+	Status       int    // of a response
 	Fields       []Field
 	Body         *buffers.Chain
-	Close        bool // the connection ends with this message
+	Close        bool // the connection ends after this message
 }
 
-// Get is a header's value, or empty.
+// Get returns the value of the first header field with a name in lower case, or "" if there is none.
 func (m *Message) Get(name string) string {
 	for _, f := range m.Fields {
 		if f.Name == name {
@@ -50,50 +52,53 @@
 	return ""
 }
 
+// stage is the part of a message that the parser reads next.
 type stage uint8
 
 const (
 	firstLine stage = iota
 	headers
-	sized
+	sizedBody // a body of Content-Length bytes
 	chunkSize
 	chunkData
-	chunkEnd
+	chunkEnd // the empty line after a chunk's data
 	trailers
-	untilClose
+	untilClose // a response body without a stated length: it ends with the connection
 	complete
 )
 
-// Parser reads one message after another from one connection.
+// Parser parses the messages of one connection, one after another.
 type Parser struct {
-	Head, Fields, Body int // limits
-	pool               *buffers.Pool
-	answers            bool
-	stage              stage
-	line               *[]byte // what has come of a line
-	headLeft           int
-	left               int // bytes left of a sized body or a chunk
-	told               bool
-	message            Message
+	maxHead, maxFields, maxBody int // limits: bytes of the first line and headers, header fields, bytes of the body
+	pool                        *buffers.Pool
+	responses                   bool // the messages are responses, not requests
+	stage                       stage
+	line                        *[]byte // the part of the current line that has arrived
+	headLeft                    int     // bytes that the rest of the head, a chunk size line or the trailers may have
+	bodyLeft                    int     // bytes left of a sized body or a chunk
+	continueSent                bool    // Waits has returned true for this message
+	message                     Message
 }
 
-// NewParser makes a parser of requests or of answers.
-func NewParser(pool *buffers.Pool, answers bool, head, fields, body int) *Parser {
-	p := &Parser{Head: head, Fields: fields, Body: body, pool: pool, answers: answers}
+// NewParser returns a parser of responses or of requests, with its limits: the bytes of the first line and headers, the
+// number of header fields and the bytes of the body.
+func NewParser(pool *buffers.Pool, responses bool, maxHead, maxFields, maxBody int) *Parser {
+	p := &Parser{maxHead: maxHead, maxFields: maxFields, maxBody: maxBody, pool: pool, responses: responses}
 	p.reset()
 	return p
 }
 
+// reset prepares the parser for the next message.
 func (p *Parser) reset() {
-	p.stage, p.headLeft, p.left, p.told, p.message = firstLine, p.Head, 0, false, Message{}
+	p.stage, p.headLeft, p.bodyLeft, p.continueSent, p.message = firstLine, p.maxHead, 0, false, Message{}
 }
 
-// Begun tells whether a message has begun and is not complete.
+// Begun reports whether a message has begun and is not complete.
 func (p *Parser) Begun() bool {
-	return p.stage != complete && (p.stage != firstLine || p.headLeft != p.Head)
+	return p.stage != complete && (p.stage != firstLine || p.headLeft != p.maxHead)
 }
 
-// Status is what an answer's first line said, once it was read whole; 0 before, and of one that can't be read.
+// Status returns the status code of a response, or 0 if its first line is incomplete or can't be parsed.
 func (p *Parser) Status() int {
 	if p.stage == firstLine {
 		return 0
@@ -101,7 +106,7 @@
 	return p.message.Status
 }
 
-// Held is the number of bytes that the buffers of an unfinished message take.
+// Held returns the number of bytes that the buffers of an incomplete message occupy.
 func (p *Parser) Held() int {
 	held := p.message.Body.Held()
 	if p.line != nil {
@@ -110,40 +115,40 @@
 	return held
 }
 
-// HeadRead tells whether first line and headers are in.
+// HeadRead reports whether the first line and the headers have been read.
 func (p *Parser) HeadRead() bool { return p.stage > headers }
 
-// Waits tells, once, that the request's sender waits to be told to send its body.
+// Waits reports whether the client waits for "100 Continue" before it sends the body. It returns true once per request.
 func (p *Parser) Waits() bool {
-	waits := p.HeadRead() && !p.told && strings.EqualFold(p.message.Get("expect"), "100-continue")
-	p.told = p.told || waits
+	waits := p.HeadRead() && !p.continueSent && strings.EqualFold(p.message.Get("expect"), "100-continue")
+	p.continueSent = p.continueSent || waits
 	return waits
 }
 
-// Feed takes bytes and returns those behind the message, once it is complete.
+// Feed parses bytes. Once the message is complete, done is true and rest holds the bytes after the message.
 func (p *Parser) Feed(b []byte) (rest []byte, done bool, err error) {
 	for p.stage != complete {
 		if len(b) == 0 {
 			return nil, false, nil
 		}
 		switch p.stage {
-		case sized, chunkData, untilClose:
-			n, next := len(b), chunkEnd
+		case sizedBody, chunkData, untilClose:
+			count, next := len(b), chunkEnd
 			if p.stage != untilClose {
-				n = min(n, p.left)
+				count = min(count, p.bodyLeft)
 			}
-			if p.stage == sized {
+			if p.stage == sizedBody {
 				next = complete
 			}
-			if p.message.Body.Len()+n > p.Body {
+			if p.message.Body.Len()+count > p.maxBody {
 				return nil, false, errBody
 			}
-			p.body().Add(b[:n])
-			b = b[n:]
+			p.body().Add(b[:count])
+			b = b[count:]
 			if p.stage == untilClose {
 				continue
 			}
-			if p.left -= n; p.left == 0 {
+			if p.bodyLeft -= count; p.bodyLeft == 0 {
 				p.stage = next
 			}
 		default:
@@ -152,7 +157,7 @@
 				return nil, false, err
 			}
 			err = p.readLine(line)
-			p.dropLine()
+			p.releaseLine()
 			if err != nil {
 				return nil, false, err
 			}
@@ -161,40 +166,42 @@
 	return b, true, nil
 }
 
-// Missing is the number of bytes that are known to be missing of the message; 0 where that is not known.
+// Missing returns the number of bytes that complete the message, or 0 if it is not known.
 func (p *Parser) Missing() int {
-	if p.stage == sized {
-		return p.left
+	if p.stage == sizedBody {
+		return p.bodyLeft
 	}
 	return 0
 }
 
-// Take hands over the message, of which the head is in, and begins the next.
+// Take returns the message, whose head must have been read, and prepares the parser for the next one.
 func (p *Parser) Take() *Message {
 	m := p.message
 	p.reset()
 	return &m
 }
 
-// Message is what has come of the message so far.
+// Message returns what has been parsed of the current message so far.
 func (p *Parser) Message() *Message { return &p.message }
 
-// End tells that the connection has ended; a body that only this ends is complete then.
+// End reports to the parser that the connection has ended, which completes a body without a stated length. It returns
+// ErrTruncated in all other cases.
 func (p *Parser) End() error {
 	if p.stage == untilClose {
 		p.stage = complete
 		return nil
 	}
-	return ErrCut
+	return ErrTruncated
 }
 
-// Free gives back what the parser holds.
+// Free returns the parser's buffers to the pool and drops the current message.
 func (p *Parser) Free() {
-	p.dropLine()
+	p.releaseLine()
 	p.message.Body.Free()
 	p.reset()
 }
 
+// body returns the message's body, which it creates on the first call.
 func (p *Parser) body() *buffers.Chain {
 	if p.message.Body == nil {
 		p.message.Body = p.pool.NewChain()
@@ -202,7 +209,7 @@
 	return p.message.Body
 }
 
-// takeLine returns a line without its end, or nil while it has not all come.
+// takeLine returns a line without its line end, or nil if the line is incomplete, and the bytes after it.
 func (p *Parser) takeLine(b []byte) (line, rest []byte, err error) {
 	end := bytes.IndexByte(b, '\n')
 	n := end + 1
@@ -226,37 +233,39 @@
 	return line, b[n:], nil
 }
 
-func (p *Parser) dropLine() {
+// releaseLine returns the current line's buffer to the pool.
+func (p *Parser) releaseLine() {
 	if p.line != nil {
 		p.pool.Put(p.line)
 		p.line = nil
 	}
 }
 
+// readLine parses a whole line according to the stage.
 func (p *Parser) readLine(line []byte) error {
 	switch p.stage {
 	case firstLine:
-		if len(line) == 0 && !p.answers {
-			return nil // an empty line before a request is passed over
+		if len(line) == 0 && !p.responses {
+			return nil // empty lines before a request are skipped
 		}
 		p.stage = headers
-		if p.answers {
-			return p.statusLine(string(line))
+		if p.responses {
+			return p.parseStatusLine(string(line))
 		}
-		return p.requestLine(string(line))
+		return p.parseRequestLine(string(line))
 	case headers:
 		if len(line) > 0 {
-			return p.header(string(line))
+			return p.parseHeader(string(line))
 		}
-		return p.headEnds()
+		return p.startBody()
 	case chunkSize:
 		size, _, _ := strings.Cut(string(line), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
 			return errMalformed
 		}
-		p.headLeft = p.Head
-		if p.left, p.stage = int(n), chunkData; n == 0 {
+		p.headLeft = p.maxHead
+		if p.bodyLeft, p.stage = int(n), chunkData; n == 0 {
 			p.stage = trailers
 		}
 	case chunkEnd:
@@ -272,31 +281,34 @@
 	return nil
 }
 
-func (p *Parser) requestLine(line string) error {
+// parseRequestLine parses "METHOD PATH VERSION".
+func (p *Parser) parseRequestLine(line string) error {
 	method, rest, _ := strings.Cut(line, " ")
 	path, version, found := strings.Cut(rest, " ")
-	if !found || !token(method) || path == "" || path[0] != '/' || strings.ContainsAny(path, " \t\x00") {
+	if !found || !isToken(method) || path == "" || path[0] != '/' || strings.ContainsAny(path, " \t\x00") {
 		return errMalformed
 	}
 	p.message.Method, p.message.Path = method, path
-	return p.version(version)
+	return p.parseVersion(version)
 }
 
-func (p *Parser) statusLine(line string) error {
+// parseStatusLine parses "VERSION STATUS REASON", where the reason may be missing.
+func (p *Parser) parseStatusLine(line string) error {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.ParseUint(code, 10, 10)
 	if err != nil || len(code) != 3 || status < 100 {
 		return errMalformed
 	}
-	if err := p.version(version); err != nil {
+	if err := p.parseVersion(version); err != nil {
 		return err
 	}
 	p.message.Status = int(status)
 	return nil
 }
 
-func (p *Parser) version(v string) error {
+// parseVersion accepts HTTP/1.1, and HTTP/1.0, with which the connection ends after the message.
+func (p *Parser) parseVersion(v string) error {
 	switch v {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
@@ -310,9 +322,10 @@
 	return nil
 }
 
-func (p *Parser) header(line string) error {
+// parseHeader parses a header line and adds its field to the message.
+func (p *Parser) parseHeader(line string) error {
 	name, value, found := strings.Cut(line, ":")
-	if !found || !token(name) || len(p.message.Fields) >= p.Fields {
+	if !found || !isToken(name) || len(p.message.Fields) >= p.maxFields {
 		return errMalformed
 	}
 	value = strings.Trim(value, " \t")
@@ -325,9 +338,10 @@
 	return nil
 }
 
-// headEnds finds out how the body ends. Two statements that differ are an attack or a fault.
-func (p *Parser) headEnds() error {
-	length, coded := -1, false
+// startBody derives from the headers how the body is delimited, and sets the stage. Contradictory headers are
+// rejected: they are a request smuggling attack or a fault of the peer.
+func (p *Parser) startBody() error {
+	length, isChunked := -1, false
 	for _, f := range p.message.Fields {
 		switch f.Name {
 		case "content-length":
@@ -337,10 +351,10 @@
 			}
 			length = int(n)
 		case "transfer-encoding":
-			if coded || !strings.EqualFold(f.Value, "chunked") {
+			if isChunked || !strings.EqualFold(f.Value, "chunked") {
 				return errEncoding
 			}
-			coded = true
+			isChunked = true
 		case "connection":
 			for option := range strings.SplitSeq(f.Value, ",") {
 				if strings.EqualFold(strings.TrimSpace(option), "close") {
@@ -351,22 +365,22 @@
 	}
 	status := p.message.Status
 	switch {
-	case p.answers && status == 101:
-		return errMalformed // nobody asked for another protocol
-	case p.answers && status < 200:
-		p.reset() // an interim answer: the real one follows
+	case p.responses && status == 101:
+		return errMalformed // no request asks for another protocol
+	case p.responses && status < 200:
+		p.reset() // an interim response: the final one follows
 		return nil
-	case p.answers && (status == 204 || status == 304):
+	case p.responses && (status == 204 || status == 304):
 		p.stage = complete
-	case coded && length >= 0:
+	case isChunked && length >= 0:
 		return errMalformed
-	case coded:
-		p.stage, p.headLeft = chunkSize, p.Head
-	case length > p.Body:
+	case isChunked:
+		p.stage, p.headLeft = chunkSize, p.maxHead
+	case length > p.maxBody:
 		return errBody
 	case length > 0:
-		p.stage, p.left = sized, length
-	case length == 0 || !p.answers:
+		p.stage, p.bodyLeft = sizedBody, length
+	case length == 0 || !p.responses:
 		p.stage = complete
 	default:
 		p.stage, p.message.Close = untilClose, true
@@ -374,7 +388,8 @@
 	return nil
 }
 
-func token(s string) bool {
+// isToken reports whether s is a valid method or header name.
+func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if c <= ' ' || c >= 0x7f || strings.IndexByte(`()<>@,;:\"/[]?={}`, c) >= 0 {
@@ -384,30 +399,32 @@
 	return s != ""
 }
 
-var reasons = map[int]string{
+// reasonPhrases holds the reason phrase of each status that the sender answers with.
+var reasonPhrases = map[int]string{
 	200: "OK", 202: "Accepted", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 429: "Too Many Requests",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 505: "HTTP Version Not Supported",
 }
 
-// Continue tells a client to send its body.
+// Continue is the interim response that asks a client to send the request's body.
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// AppendAnswer writes an answer with its body.
-func AppendAnswer(b []byte, status int, fields []Field, body string, closes bool) []byte {
+// AppendAnswer appends a response with its body to b. With closeAfter the response says that the connection ends
+// after it.
+func AppendAnswer(b []byte, status int, fields []Field, body string, closeAfter bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[status]...)
+	b = append(b, reasonPhrases[status]...)
 	b = append(b, "\r\n"...)
-	if closes {
+	if closeAfter {
 		fields = append(fields, Field{"Connection", "close"})
 	}
 	return append(appendFields(b, fields, len(body)), body...)
 }
 
-// AppendRequest writes a request's head.
+// AppendRequest appends the first line and the headers of a request to b. A negative length leaves Content-Length out.
 func AppendRequest(b []byte, method, path, host string, fields []Field, length int) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -418,7 +435,8 @@
 	return appendFields(b, fields, length)
 }
 
-// appendFields ends a head; a negative length leaves Content-Length out.
+// appendFields appends the header fields, Content-Length and the empty line that ends the headers. A negative length
+// leaves Content-Length out.
 func appendFields(b []byte, fields []Field, length int) []byte {
 	for _, f := range fields {
 		b = append(b, f.Name...)
