--- a/internal/buffers/buffers.go
+++ b/internal/buffers/buffers.go
@@ -1,25 +1,25 @@
-// Package buffers holds buffers of one size, used again from a pool.
+// Package buffers provides a pool of equally sized buffers, and byte sequences that are stored in them.
 package buffers
 
 import "sync"
 
-// Pool hands out buffers of one size.
+// Pool is a pool of reusable buffers that all have the same capacity.
 type Pool struct {
 	size int
 	free sync.Pool
 }
 
-// NewPool makes a pool of buffers of a size.
+// NewPool returns a pool of buffers with a capacity of size bytes.
 func NewPool(size int) *Pool {
 	p := &Pool{size: size}
 	p.free.New = func() any { b := make([]byte, 0, size); return &b }
 	return p
 }
 
-// Get hands out an empty buffer.
+// Get returns an empty buffer.
 func (p *Pool) Get() *[]byte { return p.free.Get().(*[]byte) }
 
-// Put takes a buffer back; one that grew is let go.
+// Put returns a buffer to the pool. A buffer that has grown beyond the pool's size is left to the garbage collector.
 func (p *Pool) Put(b *[]byte) {
 	if cap(*b) != p.size {
 		return
@@ -28,17 +28,18 @@
 	p.free.Put(b)
 }
 
-// Chain is a run of bytes kept in as many buffers as it needs.
+// Chain is a sequence of bytes that is stored in as many pool buffers as it needs. A nil Chain is empty and can be
+// read and freed.
 type Chain struct {
 	pool  *Pool
 	parts []*[]byte
 	size  int
 }
 
-// NewChain starts an empty chain.
+// NewChain returns an empty chain whose buffers come from the pool.
 func (p *Pool) NewChain() *Chain { return &Chain{pool: p} }
 
-// Add copies bytes to the chain's end.
+// Add appends a copy of b to the chain.
 func (c *Chain) Add(b []byte) {
 	c.size += len(b)
 	for len(b) > 0 {
@@ -52,7 +53,7 @@
 	}
 }
 
-// Len is the number of bytes.
+// Len returns the number of bytes in the chain.
 func (c *Chain) Len() int {
 	if c == nil {
 		return 0
@@ -60,7 +61,7 @@
 	return c.size
 }
 
-// Held is the number of bytes that the chain's buffers take.
+// Held returns the number of bytes that the chain's buffers occupy.
 func (c *Chain) Held() int {
 	if c == nil {
 		return 0
@@ -68,7 +69,7 @@
 	return len(c.parts) * c.pool.size
 }
 
-// AppendTo copies the bytes behind others.
+// AppendTo appends the chain's bytes to b.
 func (c *Chain) AppendTo(b []byte) []byte {
 	if c == nil {
 		return b
@@ -79,7 +80,7 @@
 	return b
 }
 
-// Free gives the buffers back.
+// Free returns the buffers to the pool and leaves the chain empty.
 func (c *Chain) Free() {
 	if c == nil {
 		return
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,5 +1,6 @@
-// Package limits holds every size, count and time that the sender keeps to on sockets. They are filled in once,
-// at start, from the machine's own limits and the settings, and handed down.
+// Package limits defines the sizes, counts and durations that bound the sender's use of sockets, memory and disk.
+// They are computed once, at start, from the machine's limits and the settings, and then passed to the other
+// packages.
 package limits
 
 import (
@@ -8,7 +9,7 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Machine is what the platform grants the sender.
+// Machine holds the resources that the platform grants the sender. A value of 0 or less stands for the default of For.
 type Machine struct {
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
@@ -16,96 +17,98 @@
 	Cores    float64 `json:"cores"`
 }
 
-// Limits is what the sender grants itself.
+// Limits holds the bounds that the sender sets itself.
 type Limits struct {
-	Cores  float64 // granted, or a part of one
-	Memory int64   // the Go runtime's own limit, in bytes
-	Disk   int64   // bytes of the ledger and its copy while it is rewritten
+	Cores  float64 // cores granted; may be a fraction
+	Memory int64   // soft memory limit of the Go runtime, in bytes
+	Disk   int64   // bytes of the ledger, together with its copy while it is rewritten
 
-	Buffer    int // size of every buffer
-	Window    int // bytes read of a client at a time, unless more is known to be missing of its request
-	Queued    int // bytes read from sockets and not yet seen by the loop
+	Buffer    int // bytes of every buffer
+	Window    int // bytes read from a client at a time, unless its request is known to lack more
+	Queued    int // bytes read from sockets and not yet processed by the loop; above this, reading pauses
 	Head      int // bytes of a first line with its headers
-	Fields    int // headers of one message
-	Body      int // bytes of a notice or an answer
-	List      int // bytes of a list of receivers
-	HeldBytes int // bytes of all bodies held
-	Partial   int // bytes of all requests that are not whole yet
+	Fields    int // header fields of one message
+	Body      int // bytes of the body of a request or a response
+	List      int // bytes of a receiver list, and bytes that may wait to be written on one connection
+	HeldBytes int // bytes of the bodies of all notices held
+	Partial   int // bytes of all incomplete requests
 
-	Clients   int // connections from clients
-	Crowd     int // of these: from so many on the ones quiet for longest make room
-	Pages     int // asked for on one connection in one turn: with the last of these it ends
-	Refused   int // requests refused on one connection: from so many on nothing more is read of it
-	Discard   int // bytes read of a client behind something that can't be read
+	Clients   int // connections from clients; further ones wait in the kernel
+	Crowd     int // above this number of client connections, those idle for longest are closed
+	Pages     int // pages served on one connection in one turn; it ends after the last of them
+	Refused   int // after this many refused requests on one connection, nothing more is read from it
+	Discard   int // bytes read and discarded from a client after a request that can't be parsed
 	Receivers int // connections to receivers
 
-	RequestTime  time.Duration // from a request's first byte to its last
-	FirstTime    time.Duration // from a client's connecting to its first request's last byte
-	ClientIdle   time.Duration // how long a client's connection may stand idle
-	ConnectTime  time.Duration
-	RestTime     time.Duration // for the body of an answer whose head was enough
-	ReceiverIdle time.Duration // how long a connection to a receiver may stand idle
-	Turn         time.Duration // between the beginnings of two turns of a busy loop
-	Sweep        time.Duration // between looks for what has taken too long
-	Lag          time.Duration // a turn so long after the last one, or so old, may not know what has come
-	SettleTime   time.Duration // a connection to a receiver stays unused behind an answer
-	Unheard      time.Duration // until it is looked again whether what has come on a connection was heard
-	Stall        time.Duration // the process may be held up for so long between reading its clock and writing
+	RequestTime  time.Duration // from the first byte of a request to the last
+	FirstTime    time.Duration // from a client's connecting to the last byte of its first request
+	ClientIdle   time.Duration // how long a client's connection may be idle
+	ConnectTime  time.Duration // for connecting to a receiver
+	RestTime     time.Duration // for the rest of a response whose head was enough; then the connection is closed
+	ReceiverIdle time.Duration // how long a connection to a receiver may be idle
+	Turn         time.Duration // between the starts of two turns of a busy loop
+	Sweep        time.Duration // between checks for timeouts
+	Lag          time.Duration // a turn this long after the previous one, or this old, may lack data that has arrived
+	SettleTime   time.Duration // how long a connection to a receiver stays unused after a response
+	Unheard      time.Duration // until a connection with data not yet processed is checked again
+	Stall        time.Duration // longest pause of the process that is allowed for between reading its clock and writing
 
-	Hold        time.Duration // how long discovery is asked to hold a watch
-	Again       time.Duration // between watches that are not held
-	AnswerTime  time.Duration // what discovery gets beyond that, and the platform for a notice of ends
-	BackOff     time.Duration // after a first failure of either; doubles
-	BackOffMost time.Duration
+	Hold        time.Duration // how long discovery is asked to hold a watch request
+	Again       time.Duration // between watch requests that discovery does not hold
+	AnswerTime  time.Duration // response timeout: of discovery, added to Hold; of the platform, for an outcome report
+	BackOff     time.Duration // pause after the first failure of either; doubles with each further one
+	BackOffMost time.Duration // upper bound of that pause
 
-	SendUntil time.Duration // after SIGTERM: no trip is begun from here on
-	ExitBy    time.Duration // after SIGTERM: out, whatever is still open
-	Linger    time.Duration // after SIGTERM: clients are still answered for so long
+	SendUntil time.Duration // after SIGTERM: no trip starts from then on
+	ExitBy    time.Duration // after SIGTERM: the process exits, even with work left
+	// Linger is how long clients still get answers after SIGTERM, and how long a client may take to close its connection
+	// after the last answer on it.
+	Linger time.Duration
 }
 
-// For fills the limits in.
-func For(m Machine, s rules.Settings, connect rules.Millis) Limits {
+// For returns the limits for a machine, with defaults for what it does not state.
+func For(machine Machine, settings rules.Settings, connectTimeout rules.Millis) Limits {
 	const mb = 1 << 20
-	if m.MemoryMB <= 0 {
-		m.MemoryMB = 192
+	if machine.MemoryMB <= 0 {
+		machine.MemoryMB = 192
 	}
-	if m.Sockets <= 0 {
-		m.Sockets = 1024
+	if machine.Sockets <= 0 {
+		machine.Sockets = 1024
 	}
-	if m.DiskMB <= 0 {
-		m.DiskMB = 1
+	if machine.DiskMB <= 0 {
+		machine.DiskMB = 1
 	}
-	if m.Cores <= 0 {
-		m.Cores = 1
+	if machine.Cores <= 0 {
+		machine.Cores = 1
 	}
-	l := Limits{
-		Cores:  m.Cores,
-		Memory: int64(m.MemoryMB) * mb / 2,
-		Disk:   int64(m.DiskMB * 1e6 * 0.9),
+	limits := Limits{
+		Cores:  machine.Cores,
+		Memory: int64(machine.MemoryMB) * mb / 2,
+		Disk:   int64(machine.DiskMB * 1e6 * 0.9),
 
 		Buffer:    8 << 10,
 		Window:    2 << 10,
-		Queued:    min(4, m.MemoryMB/16) * mb,
+		Queued:    min(4, machine.MemoryMB/16) * mb,
 		Head:      8 << 10,
 		Fields:    64,
 		Body:      64 << 10,
-		List:      min(4, max(m.MemoryMB/16, 1)) * mb,
+		List:      min(4, max(machine.MemoryMB/16, 1)) * mb,
 		Discard:   256 << 10,
 		Pages:     4,
 		Refused:   512,
-		HeldBytes: m.MemoryMB * mb / 8,
-		Partial:   m.MemoryMB * mb / 16,
+		HeldBytes: machine.MemoryMB * mb / 8,
+		Partial:   machine.MemoryMB * mb / 16,
 
 		RequestTime:  2 * time.Second,
 		FirstTime:    2500 * time.Millisecond,
 		ClientIdle:   2 * time.Second,
-		ConnectTime:  span(connect),
+		ConnectTime:  toDuration(connectTimeout),
 		RestTime:     250 * time.Millisecond,
-		ReceiverIdle: span(s.IdleKept * 9 / 10),
-		Turn:         span(s.Tick / 2),
+		ReceiverIdle: toDuration(settings.IdleKept * 9 / 10),
+		Turn:         toDuration(settings.Tick / 2),
 		Sweep:        100 * time.Millisecond,
 		Lag:          20 * time.Millisecond,
-		SettleTime:   span(rules.SettleTime),
+		SettleTime:   toDuration(rules.SettleTime),
 		Unheard:      time.Millisecond,
 		Stall:        150 * time.Millisecond,
 
@@ -119,18 +122,21 @@
 		ExitBy:    3200 * time.Millisecond,
 		Linger:    500 * time.Millisecond,
 	}
-	// A fresh connection to a receiver holds two descriptors for a moment, and the runtime, the ledger and discovery
-	// need some. Usual clients hold a third for requests.
-	l.Clients = max(m.Sockets*9/16, 8)
-	l.Crowd = l.Clients * 3 / 4
-	l.Receivers = max(m.Sockets/4, 8)
-	if l.ConnectTime <= 0 {
-		l.ConnectTime = time.Second
+	// A new connection to a receiver briefly holds two descriptors, and the runtime, the ledger and discovery need
+	// some. Under usual load, clients hold a third of the descriptors for their requests.
+	limits.Clients = max(machine.Sockets*9/16, 8)
+	limits.Crowd = limits.Clients * 3 / 4
+	limits.Receivers = max(machine.Sockets/4, 8)
+	if limits.ConnectTime <= 0 {
+		limits.ConnectTime = time.Second
 	}
-	if l.ReceiverIdle <= 0 {
-		l.ReceiverIdle = time.Second
+	if limits.ReceiverIdle <= 0 {
+		limits.ReceiverIdle = time.Second
 	}
-	return l
+	return limits
 }
 
-func span(m rules.Millis) time.Duration { return time.Duration(float64(m) * float64(time.Millisecond)) }
+// toDuration converts milliseconds to a duration.
+func toDuration(millis rules.Millis) time.Duration {
+	return time.Duration(float64(millis) * float64(time.Millisecond))
+}
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -85,8 +85,8 @@
 	return err
 }
 
-// Resume lets the poller read up to the given number of further bytes from a client's connection, as soon as all that
-// was written on it has been passed to the kernel: nothing more is read from a client that does not read its
+// Resume allows the poller to read up to the given number of further bytes from a client's connection, as soon as all
+// that was written on it has been passed to the kernel: nothing more is read from a client that does not read its
 // responses. With 0, only the end of the connection is reported.
 func (c *Conn) Resume(bytes int) {
 	if c.closed {
