--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -21,11 +21,11 @@
 func (f *Fault) Error() string { return f.Reason }
 
 var (
-	errHead      = &Fault{431, "head too large"}
-	errBody      = &Fault{413, "body too large"}
-	errMalformed = &Fault{400, "malformed message"}
-	errVersion   = &Fault{505, "version not supported"}
-	errEncoding  = &Fault{501, "transfer encoding not supported"}
+	errHeadTooLarge        = &Fault{431, "head too large"}
+	errBodyTooLarge        = &Fault{413, "body too large"}
+	errMalformed           = &Fault{400, "malformed message"}
+	errUnsupportedVersion  = &Fault{505, "version not supported"}
+	errUnsupportedEncoding = &Fault{501, "transfer encoding not supported"}
 	// ErrTruncated reports that the connection ended within a message.
 	ErrTruncated = errors.New("message cut short")
 )
@@ -141,7 +141,7 @@
 				next = complete
 			}
 			if p.message.Body.Len()+count > p.maxBody {
-				return nil, false, errBody
+				return nil, false, errBodyTooLarge
 			}
 			p.body().Add(b[:count])
 			b = b[count:]
@@ -217,7 +217,7 @@
 		n = len(b)
 	}
 	if p.headLeft -= n; p.headLeft < 0 {
-		return nil, nil, errHead
+		return nil, nil, errHeadTooLarge
 	}
 	if p.line == nil {
 		p.line = p.pool.Get()
@@ -315,7 +315,7 @@
 		p.message.Close = true
 	default:
 		if strings.HasPrefix(v, "HTTP/") {
-			return errVersion
+			return errUnsupportedVersion
 		}
 		return errMalformed
 	}
@@ -352,7 +352,7 @@
 			length = int(n)
 		case "transfer-encoding":
 			if isChunked || !strings.EqualFold(f.Value, "chunked") {
-				return errEncoding
+				return errUnsupportedEncoding
 			}
 			isChunked = true
 		case "connection":
@@ -377,7 +377,7 @@
 	case isChunked:
 		p.stage, p.headLeft = chunkSize, p.maxHead
 	case length > p.maxBody:
-		return errBody
+		return errBodyTooLarge
 	case length > 0:
 		p.stage, p.bodyLeft = sizedBody, length
 	case length == 0 || !p.responses:
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -61,8 +61,8 @@
 
 	SendUntil time.Duration // after SIGTERM: no trip starts from then on
 	ExitBy    time.Duration // after SIGTERM: the process exits, even with work left
-	// Linger is how long clients still get answers after SIGTERM, and how long a client may take to close its connection
-	// after the last answer on it.
+	// Linger is how long clients still get answers after SIGTERM, and how long a client may take to close its
+	// connection after the last answer on it.
 	Linger time.Duration
 }
 
