--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock tells by how much the wall clock was stepped between two moments, also across processes: times that outlive
-// a process are kept by the wall clock, and spans between them must not change with it.
+// Package clock measures by how much the wall clock was stepped between two moments, also across processes. Times
+// that are stored beyond the life of a process are wall clock times, and a step must not change the durations
+// between them.
 package clock
 
 import (
@@ -10,72 +11,75 @@
 	"golang.org/x/sys/unix"
 )
 
-// leastStep is the least difference between the clocks that counts as a step. Less comes of reading one after the other.
-const leastStep = 10 * time.Millisecond
+// minStep is the smallest difference between the clocks that counts as a step. Smaller ones arise because the two
+// clocks are read one after the other.
+const minStep = 10 * time.Millisecond
 
-// The two clocks are read again if that took longer than readWithin, so many times at the most.
+// The two clocks are read again if reading them took longer than maxReadTime, up to maxReadAttempts times in all.
 const (
-	readWithin = time.Millisecond
-	readTries  = 10
+	maxReadTime     = time.Millisecond
+	maxReadAttempts = 10
 )
 
-// bootFile names the present boot of the machine: the monotonic clock begins anew with each.
-const bootFile = "/proc/sys/kernel/random/boot_id"
+// bootIDFile contains an id of the machine's current boot. The monotonic clock restarts at each boot.
+const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// bootLength is how many characters of the boot's name are kept.
-const bootLength = 8
+// bootIDLength is how many characters of the boot id are stored.
+const bootIDLength = 8
 
-// Moment is a time by both clocks of the machine, in milliseconds.
+// Moment is a time on the wall clock and on the monotonic clock of the machine, in milliseconds.
 type Moment struct {
-	Wall      int64  `json:"wall"`      // since 1970
-	Monotonic int64  `json:"monotonic"` // since the boot
-	Boot      string `json:"boot"`
+	Wall      int64  `json:"wall"`      // since the Unix epoch
+	Monotonic int64  `json:"monotonic"` // since the machine booted
+	Boot      string `json:"boot"`      // id of the boot; empty: Monotonic is unknown
 }
 
-// Clock reads both clocks.
-type Clock struct{ boot string }
+// Clock reads the wall clock and the monotonic clock of the machine.
+type Clock struct{ bootID string }
 
-// New makes a clock of this machine.
+// New returns a clock of this machine.
 func New() Clock {
-	text, err := os.ReadFile(bootFile)
+	text, err := os.ReadFile(bootIDFile)
 	if err != nil {
 		return Clock{}
 	}
-	boot := strings.TrimSpace(string(text))
-	return Clock{boot[:min(len(boot), bootLength)]}
+	bootID := strings.TrimSpace(string(text))
+	return Clock{bootID[:min(len(bootID), bootIDLength)]}
 }
 
-// Now is the present moment. Without a monotonic clock that processes share, Boot is empty.
+// Now returns the current moment. Its Boot is empty without a monotonic clock that all processes of the machine
+// share.
 func (c Clock) Now() Moment {
 	wall := time.Now()
 	monotonic, known := c.monotonic()
-	for try := 1; known && time.Since(wall) > readWithin && try < readTries; try++ {
+	for try := 1; known && time.Since(wall) > maxReadTime && try < maxReadAttempts; try++ {
 		wall = time.Now()
 		monotonic, known = c.monotonic()
 	}
 	if !known {
 		return Moment{Wall: wall.UnixMilli()}
 	}
-	return Moment{Wall: wall.UnixMilli(), Monotonic: monotonic, Boot: c.boot}
+	return Moment{Wall: wall.UnixMilli(), Monotonic: monotonic, Boot: c.bootID}
 }
 
-// monotonic is the time since the boot in milliseconds, if it can be told.
-func (c Clock) monotonic() (at int64, known bool) {
-	var spec unix.Timespec
-	if c.boot == "" || unix.ClockGettime(unix.CLOCK_MONOTONIC, &spec) != nil {
+// monotonic returns the time since the machine booted in milliseconds, and whether it is known.
+func (c Clock) monotonic() (elapsed int64, known bool) {
+	var now unix.Timespec
+	if c.bootID == "" || unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) != nil {
 		return 0, false
 	}
-	return spec.Nano() / int64(time.Millisecond), true
+	return now.Nano() / int64(time.Millisecond), true
 }
 
-// Stepped is by how much the wall clock was set forward from one moment to a later one of the same boot; below 0: back.
-// It is 0 where nothing tells, and for differences that are no step.
+// Stepped returns by how much the wall clock was set forward between m and a later moment of the same boot; a
+// negative result means that it was set back. It is 0 if the moments can't be compared, and for differences below
+// minStep.
 func (m Moment) Stepped(later Moment) time.Duration {
 	if m.Boot == "" || m.Boot != later.Boot || later.Monotonic < m.Monotonic {
 		return 0
 	}
 	step := time.Duration((later.Wall-m.Wall)-(later.Monotonic-m.Monotonic)) * time.Millisecond
-	if step.Abs() < leastStep {
+	if step.Abs() < minStep {
 		return 0
 	}
 	return step
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-func TestStepOfTheWallClockIsTold(t *testing.T) {
+// Guards against steps that go unnoticed, and against reading errors, reboots and unknown boots that are taken for
+// steps.
+func TestStepOfTheWallClockIsDetected(t *testing.T) {
 	at := Moment{Wall: 5_000_000, Monotonic: 10_000, Boot: "a"}
 	for _, c := range []struct {
 		later Moment
@@ -22,7 +24,7 @@
 		{Moment{Wall: 8_602_000}, 0},
 	} {
 		if got := at.Stepped(c.later); got != c.want {
-			t.Errorf("to %+v: %v, want %v", c.later, got, c.want)
+			t.Errorf("step until %+v: got %v, want %v", c.later, got, c.want)
 		}
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,4 +1,6 @@
-// Package ledger keeps in the lasting folder what the sender owes, so that it outlives the process.
+// Package ledger stores the notices that still need a delivery or a final outcome in a file in the state directory,
+// so that they survive a restart of the sender. The file is a log of records that is appended to and compacted from
+// time to time.
 package ledger
 
 import (
@@ -17,37 +19,39 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// ErrFull says that the folder has no room for a further notice.
+// ErrFull reports that the ledger's capacity does not allow another notice.
 var ErrFull = errors.New("the ledger is full")
 
-// Trip is a trip that was begun and is not known never to have run.
+// Trip is an attempt to deliver a notice that was started and may have taken effect at the receiver.
 type Trip struct {
 	At   time.Time
 	Zone string
 }
 
-// Notice is what is kept of a notice.
+// Notice is a notice as the ledger stores it. Fields tagged `json:"-"` are stored in other parts of the records; the
+// others are written as JSON under their Go names.
 type Notice struct {
 	Number      rules.NoticeID `json:"-"`
 	ID          string
-	Mark        string `json:",omitempty"`
+	Mark        string `json:",omitempty"` // by which a receiver recognizes a repeated request, or empty
 	Grade       string
 	Portfolio   string `json:",omitempty"`
 	Key         rules.KeyID
 	Destination rules.DestinationID
-	Until       time.Time    // by the wall clock
-	TakenAt     clock.Moment // tells steps of the wall clock since
-	WaitedMS    int64        `json:",omitempty"` // it may have waited so long to be read
-	Inherited   bool         `json:",omitempty"`
+	Until       time.Time    // client timeout, by the wall clock
+	TakenAt     clock.Moment // when it was accepted; steps of the wall clock are measured from here
+	WaitedMS    int64        `json:",omitempty"` // upper bound of the time that the request waited before it was read
+	Inherited   bool         `json:",omitempty"` // another sender accepted it before and failed
 	Body        []byte       `json:"-"`
 
-	Trips   int     `json:"-"` // begun
-	Ran     []Trip  `json:"-"` // those that may have run
-	Ended   string  `json:"-"` // the end that the platform has not taken yet, or empty
-	RetryMS float64 `json:"-"`
+	Trips   int     `json:"-"` // number of trips started
+	Ran     []Trip  `json:"-"` // trips that may have taken effect
+	Ended   string  `json:"-"` // final outcome that the platform has not accepted yet, or empty
+	RetryMS float64 `json:"-"` // with Ended: when the client may submit it again, in milliseconds
 }
 
-// Adjust sets the notice's times by the wall clock right, as of a later moment, if that was stepped meanwhile.
+// Adjust corrects the notice's wall clock times if the wall clock was stepped between TakenAt and now. It returns
+// the step.
 func (n *Notice) Adjust(now clock.Moment) (stepped time.Duration) {
 	stepped = n.TakenAt.Stepped(now)
 	n.Until = n.Until.Add(stepped)
@@ -57,58 +61,61 @@
 	return stepped
 }
 
-// The kinds of record. Each is a length, a checksum of the rest, the kind, the notice's number and what the kind needs.
+// The kinds of record. Each record consists of the length and the CRC-32 checksum of its body, and of the body: the
+// kind, the notice's number and a payload that depends on the kind. Numbers are little-endian.
 const (
-	kindTaken  = 'n' // length of the JSON, JSON, body
-	kindTrip   = 't' // Unix milliseconds, zone
-	kindUnrun  = 'u' // the last trip is known never to have run
-	kindEnded  = 'e' // retry in milliseconds, outcome
-	kindClosed = 'c' // nothing more is owed
-	kindMade   = 'm' // how many trips were made and never ran
+	kindAccepted    = 'n' // payload: length of the JSON, JSON, body
+	kindTrip        = 't' // payload: Unix milliseconds, zone
+	kindNotRun      = 'u' // the last trip is known not to have run
+	kindOutcome     = 'e' // payload: retry time in milliseconds, outcome
+	kindClosed      = 'c' // nothing remains to be done for the notice
+	kindTripsNotRun = 'm' // payload: number of trips that were made and did not run
 )
 
 const (
-	reserve  = 512 // bytes, for what is written of a notice that was taken
-	usual    = 320 // bytes, of what else is written of it: ids, times, two trips
-	headSize = 8
-	leastLen = 5
-	fileName = "ledger"
+	reservedPerNotice = 512 // bytes kept free per accepted notice for its later records
+	typicalOverhead   = 320 // bytes written for a typical notice besides its body: ids, times, two trips
+	headerSize        = 8   // bytes: length and checksum
+	minRecordLen      = 5   // bytes of the shortest record body: kind and number
+	fileName          = "ledger"
 )
 
-// Ledger is the file, and what it would take to write it anew.
+// Ledger is an open ledger file, with a copy of the live records from which Compact rewrites it.
 type Ledger struct {
-	folder  string
-	room    int64
-	file    *os.File
-	size    int64
-	live    int64
-	notices map[rules.NoticeID]*kept
-	out     []byte           // records that wait to be written
-	unsure  []rules.NoticeID // taken by these
-	stale   bool             // the file tells of notices that are over
-	Torn    int              // bytes at the end of what an earlier process left that could not be read
+	stateDir        string
+	capacity        int64
+	file            *os.File
+	size            int64
+	liveBytes       int64
+	notices         map[rules.NoticeID]*liveRecords
+	pending         []byte           // records that are not written yet
+	unwritten       []rules.NoticeID // notices whose acceptance is among the pending records
+	needsCompaction bool             // pending records were dropped after a failed write
+	Torn            int              // unreadable bytes at the end of the file that an earlier process left
 }
 
-// kept is what is live of a notice.
-type kept struct {
-	taken, ended []byte
-	ran          [][]byte
-	unrun        uint32 // trips made that never ran
+// liveRecords is the records of a notice that a compacted file contains.
+type liveRecords struct {
+	accepted, outcome []byte
+	trips             [][]byte
+	tripsNotRun       uint32 // trips that were made and did not run
 }
 
-// Open reads what an earlier process left in a folder and writes it anew. A torn end is passed over.
-func Open(folder string, room int64) (*Ledger, []Notice, error) {
-	l := &Ledger{folder: folder, room: room, notices: map[rules.NoticeID]*kept{}}
+// Open reads the ledger that an earlier process left in a state directory, compacts it, and returns the pending
+// notices in the order in which they were accepted. Unreadable bytes at the end, such as a partly written record,
+// are discarded and counted in Torn. The files of the state directory take up at most capacity bytes.
+func Open(stateDir string, capacity int64) (*Ledger, []Notice, error) {
+	l := &Ledger{stateDir: stateDir, capacity: capacity, notices: map[rules.NoticeID]*liveRecords{}}
 	os.Remove(l.path() + ".new")
-	text, err := os.ReadFile(l.path())
+	data, err := os.ReadFile(l.path())
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, err
 	}
-	report := scan(text, func(number rules.NoticeID, kind byte, record []byte, owed bool) {
-		if owed {
-			l.keep(number, kind, record)
+	report := scan(data, func(number rules.NoticeID, kind byte, record []byte, pending bool) {
+		if pending {
+			l.apply(number, kind, record)
 		} else {
-			l.drop(number)
+			l.forget(number)
 		}
 	})
 	l.Torn = report.Torn
@@ -118,142 +125,147 @@
 	return l, report.Owed, nil
 }
 
-// Report is what a ledger's file says.
+// Report describes the contents of a ledger file.
 type Report struct {
 	Bytes, Records int
-	Kinds          map[string]int // records by kind
-	Torn           int            // bytes at the end that can't be read
-	Owed           []Notice       // in the order taken
+	Kinds          map[string]int // number of records by name of the kind
+	Torn           int            // unreadable bytes at the end
+	Owed           []Notice       // pending notices, in the order in which they were accepted
 }
 
-var kindNames = map[byte]string{kindTaken: "taken", kindTrip: "trip", kindUnrun: "never ran", kindEnded: "ended",
-	kindClosed: "closed", kindMade: "trips made"}
+// kindNames maps the kinds of record to their names in a Report.
+var kindNames = map[byte]string{kindAccepted: "taken", kindTrip: "trip", kindNotRun: "never ran", kindOutcome: "ended",
+	kindClosed: "closed", kindTripsNotRun: "trips made"}
 
-// Read reads a folder's ledger and changes nothing, also while a sender writes to it: what that one is just writing
-// may then stand at the end as torn.
-func Read(folder string) (Report, error) {
-	text, err := os.ReadFile(filepath.Join(folder, fileName))
+// Read reads the ledger in a state directory without changing it. It can be used while a sender writes to the
+// ledger; the record that is being written may then be counted as torn.
+func Read(stateDir string) (Report, error) {
+	data, err := os.ReadFile(filepath.Join(stateDir, fileName))
 	if err != nil {
 		return Report{}, fmt.Errorf("reading the ledger: %w", err)
 	}
-	return scan(text, func(rules.NoticeID, byte, []byte, bool) {}), nil
+	return scan(data, func(rules.NoticeID, byte, []byte, bool) {}), nil
 }
 
-// scan reads records up to the first that can't be read; each is told, and whether its notice is owed after it.
-func scan(text []byte, each func(number rules.NoticeID, kind byte, record []byte, owed bool)) Report {
-	report := Report{Bytes: len(text), Kinds: map[string]int{}}
-	owed := map[rules.NoticeID]*Notice{}
+// scan reads records up to the first unreadable one. It calls visit for each, with whether the notice is pending
+// after that record.
+func scan(data []byte, visit func(number rules.NoticeID, kind byte, record []byte, pending bool)) Report {
+	report := Report{Bytes: len(data), Kinds: map[string]int{}}
+	pending := map[rules.NoticeID]*Notice{}
 	var order []rules.NoticeID
-	for len(text) >= headSize {
-		size := binary.LittleEndian.Uint32(text)
-		if size < leastLen || uint64(size) > uint64(len(text)-headSize) {
+	for len(data) >= headerSize {
+		size := binary.LittleEndian.Uint32(data)
+		if size < minRecordLen || uint64(size) > uint64(len(data)-headerSize) {
 			break
 		}
-		body := text[headSize : headSize+size]
-		if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(text[4:]) {
+		body := data[headerSize : headerSize+size]
+		if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(data[4:]) {
 			break
 		}
 		number := rules.NoticeID(binary.LittleEndian.Uint32(body[1:]))
-		if n := replay(owed, number, body[0], body[leastLen:]); n != nil {
+		if n := replay(pending, number, body[0], body[minRecordLen:]); n != nil {
 			order = append(order, number)
 		}
-		each(number, body[0], text[:headSize+size], owed[number] != nil)
+		visit(number, body[0], data[:headerSize+size], pending[number] != nil)
 		report.Records++
 		report.Kinds[kindNames[body[0]]]++
-		text = text[headSize+size:]
+		data = data[headerSize+size:]
 	}
-	report.Torn = len(text)
+	report.Torn = len(data)
 	for _, number := range order {
-		if n := owed[number]; n != nil {
+		if n := pending[number]; n != nil {
 			report.Owed = append(report.Owed, *n)
 		}
 	}
 	return report
 }
 
-// replay takes a record; it returns the notice that a record begins.
-func replay(owed map[rules.NoticeID]*Notice, number rules.NoticeID, kind byte, rest []byte) *Notice {
-	if kind == kindTaken && len(rest) >= 4 {
-		size := binary.LittleEndian.Uint32(rest)
+// replay applies a record to the pending notices. It returns the notice if the record is a notice's acceptance.
+func replay(pending map[rules.NoticeID]*Notice, number rules.NoticeID, kind byte, payload []byte) *Notice {
+	if kind == kindAccepted && len(payload) >= 4 {
+		size := binary.LittleEndian.Uint32(payload)
 		n := &Notice{Number: number}
-		if uint64(size) > uint64(len(rest)-4) || json.Unmarshal(rest[4:4+size], n) != nil {
+		if uint64(size) > uint64(len(payload)-4) || json.Unmarshal(payload[4:4+size], n) != nil {
 			return nil
 		}
-		n.Body = bytes.Clone(rest[4+size:])
-		owed[number] = n
+		n.Body = bytes.Clone(payload[4+size:])
+		pending[number] = n
 		return n
 	}
-	n := owed[number]
+	n := pending[number]
 	if n == nil {
 		return nil
 	}
 	switch {
-	case kind == kindTrip && len(rest) >= 8:
+	case kind == kindTrip && len(payload) >= 8:
 		n.Trips++
-		at := time.UnixMilli(int64(binary.LittleEndian.Uint64(rest)))
-		n.Ran = append(n.Ran, Trip{At: at, Zone: string(rest[8:])})
-	case kind == kindUnrun && len(n.Ran) > 0:
+		at := time.UnixMilli(int64(binary.LittleEndian.Uint64(payload)))
+		n.Ran = append(n.Ran, Trip{At: at, Zone: string(payload[8:])})
+	case kind == kindNotRun && len(n.Ran) > 0:
 		n.Ran = n.Ran[:len(n.Ran)-1]
-	case kind == kindMade && len(rest) >= 4:
-		n.Trips += int(binary.LittleEndian.Uint32(rest))
-	case kind == kindEnded && len(rest) >= 4:
-		n.RetryMS, n.Ended = float64(binary.LittleEndian.Uint32(rest)), string(rest[4:])
+	case kind == kindTripsNotRun && len(payload) >= 4:
+		n.Trips += int(binary.LittleEndian.Uint32(payload))
+	case kind == kindOutcome && len(payload) >= 4:
+		n.RetryMS, n.Ended = float64(binary.LittleEndian.Uint32(payload)), string(payload[4:])
 	case kind == kindClosed:
-		delete(owed, number)
+		delete(pending, number)
 	}
 	return nil
 }
 
-// Folder is where the ledger is kept.
-func (l *Ledger) Folder() string { return l.folder }
+// Folder returns the state directory that the ledger is stored in.
+func (l *Ledger) Folder() string { return l.stateDir }
 
-func (l *Ledger) path() string { return filepath.Join(l.folder, fileName) }
+// path returns the path of the ledger file.
+func (l *Ledger) path() string { return filepath.Join(l.stateDir, fileName) }
 
-// Taken writes a notice down, if there is room for it and for what will be written of it.
+// Taken records that a notice was accepted. It returns ErrFull without capacity for it and for its later records.
 func (l *Ledger) Taken(n Notice) error {
-	about, err := json.Marshal(n)
+	metadata, err := json.Marshal(n)
 	if err != nil {
 		return err
 	}
-	rest := binary.LittleEndian.AppendUint32(nil, uint32(len(about)))
-	rest = append(append(rest, about...), n.Body...)
-	need := int64(headSize + leastLen + len(rest) + reserve)
-	// What is live, and its copy while the file is written anew, must fit at once with what is out of date.
-	if l.live+need > l.room*2/5 {
+	payload := binary.LittleEndian.AppendUint32(nil, uint32(len(metadata)))
+	payload = append(append(payload, metadata...), n.Body...)
+	needed := int64(headerSize + minRecordLen + len(payload) + reservedPerNotice)
+	// The live records must fit twice, since compaction copies them, along with the outdated records of the old
+	// file.
+	if l.liveBytes+needed > l.capacity*2/5 {
 		return ErrFull
 	}
-	if l.size+int64(len(l.out))+need > l.room/2 || l.stale {
+	if l.size+int64(len(l.pending))+needed > l.capacity/2 || l.needsCompaction {
 		if err := l.Compact(); err != nil {
 			return err
 		}
-		if l.size+need > l.room/2 {
+		if l.size+needed > l.capacity/2 {
 			return ErrFull
 		}
 	}
-	return l.append(n.Number, kindTaken, rest)
+	return l.append(n.Number, kindAccepted, payload)
 }
 
-// Share is the part of a ledger's room for live notices that one with a body of so many bytes takes, as a rule.
-func Share(room int64, body int) float64 {
-	return float64(headSize+leastLen+4+usual+body) / float64(room*2/5)
+// Share returns the part of a ledger's capacity for live notices that a typical notice with a body of the given
+// size uses.
+func Share(capacity int64, body int) float64 {
+	return float64(headerSize+minRecordLen+4+typicalOverhead+body) / float64(capacity*2/5)
 }
 
-// Trip writes down that a call is about to leave.
+// Trip records that a call is about to be sent. The record is in the file when Trip returns.
 func (l *Ledger) Trip(number rules.NoticeID, t Trip) error {
-	rest := binary.LittleEndian.AppendUint64(nil, uint64(t.At.UnixMilli()))
-	return l.append(number, kindTrip, append(rest, t.Zone...))
+	payload := binary.LittleEndian.AppendUint64(nil, uint64(t.At.UnixMilli()))
+	return l.append(number, kindTrip, append(payload, t.Zone...))
 }
 
-// Unrun writes down that the notice's last trip is known never to have run.
-func (l *Ledger) Unrun(number rules.NoticeID) error { return l.append(number, kindUnrun, nil) }
+// Unrun records that the notice's last trip is known not to have run.
+func (l *Ledger) Unrun(number rules.NoticeID) error { return l.append(number, kindNotRun, nil) }
 
-// Ended writes down how a notice ended; it stays until Closed.
+// Ended records a notice's final outcome, which is kept until Closed. The record is in the file when Ended returns.
 func (l *Ledger) Ended(number rules.NoticeID, outcome string, retryMS float64) error {
-	rest := binary.LittleEndian.AppendUint32(nil, uint32(min(max(retryMS, 0), 1e9)))
-	return l.append(number, kindEnded, append(rest, outcome...))
+	payload := binary.LittleEndian.AppendUint32(nil, uint32(min(max(retryMS, 0), 1e9)))
+	return l.append(number, kindOutcome, append(payload, outcome...))
 }
 
-// Closed writes down that nothing more is owed for a notice.
+// Closed records that nothing remains to be done for a notice.
 func (l *Ledger) Closed(number rules.NoticeID) error {
 	if l.notices[number] == nil {
 		return nil
@@ -261,170 +273,174 @@
 	return l.append(number, kindClosed, nil)
 }
 
-// Size is the size of the file in bytes.
+// Size returns the size of the file in bytes.
 func (l *Ledger) Size() int64 { return l.size }
 
-// append takes a record. What tells of notices taken and of ends waits for the next record that must be on disk at once, or
-// for Flush: the records of a turn are one write where they can be.
-func (l *Ledger) append(number rules.NoticeID, kind byte, rest []byte) error {
-	begin := len(l.out)
-	l.out = appendRecord(l.out, number, kind, rest)
-	record := l.out[begin:]
-	if kind != kindTaken && l.size+int64(len(l.out)) > l.room/2+l.room/20 {
-		l.out = l.out[:begin]
+// append adds a record. Records of trips and of final outcomes are written at once. The others stay pending until
+// the next such record or Flush, so that the records of a turn of the loop need as few writes as possible.
+func (l *Ledger) append(number rules.NoticeID, kind byte, payload []byte) error {
+	start := len(l.pending)
+	l.pending = appendRecord(l.pending, number, kind, payload)
+	record := l.pending[start:]
+	if kind != kindAccepted && l.size+int64(len(l.pending)) > l.capacity/2+l.capacity/20 {
+		l.pending = l.pending[:start]
 		if err := l.Compact(); err != nil {
 			return err
 		}
-		begin = 0
-		l.out = appendRecord(l.out, number, kind, rest)
-		record = l.out
+		start = 0
+		l.pending = appendRecord(l.pending, number, kind, payload)
+		record = l.pending
 	}
-	if kind == kindTrip || kind == kindEnded {
-		if err := l.write(); err != nil {
-			l.out = l.out[:begin]
+	if kind == kindTrip || kind == kindOutcome {
+		if err := l.writePending(); err != nil {
+			l.pending = l.pending[:start]
 			return err
 		}
 	}
 	switch kind {
 	case kindClosed:
-		l.drop(number)
+		l.forget(number)
 	default:
-		l.keep(number, kind, record)
-		if kind == kindTaken {
-			l.unsure = append(l.unsure, number)
+		l.apply(number, kind, record)
+		if kind == kindAccepted {
+			l.unwritten = append(l.unwritten, number)
 		}
 	}
-	if kind == kindTrip || kind == kindEnded {
-		l.settle()
+	if kind == kindTrip || kind == kindOutcome {
+		l.markWritten()
 	}
 	return nil
 }
 
-// write puts what waits into the file. What was written in part is cut off: of several records some may be whole, and a
-// notice whose client is turned away must not come back to life.
-func (l *Ledger) write() error {
-	if _, err := l.file.WriteAt(l.out, l.size); err != nil {
+// writePending writes the pending records to the file. After a partial write the file is truncated to its old size:
+// some of the records may be complete, and a notice that is rejected must not be restored after a restart.
+func (l *Ledger) writePending() error {
+	if _, err := l.file.WriteAt(l.pending, l.size); err != nil {
 		l.file.Truncate(l.size)
-		return fmt.Errorf("ledger: %w", err)
+		return fmt.Errorf("writing the ledger: %w", err)
 	}
 	return nil
 }
 
-// settle notes that what waited is in the file.
-func (l *Ledger) settle() {
-	l.size += int64(len(l.out))
-	l.out, l.unsure = l.out[:0], l.unsure[:0]
+// markWritten notes that the pending records are in the file.
+func (l *Ledger) markWritten() {
+	l.size += int64(len(l.pending))
+	l.pending, l.unwritten = l.pending[:0], l.unwritten[:0]
 }
 
-// Flush writes what waits. Of notices taken that could not be written it forgets all and returns them: nobody may be told that
-// they were.
+// Flush writes the pending records. If that fails, it forgets the notices whose acceptance is not in the file and
+// returns them: their clients must not be told that they were accepted.
 func (l *Ledger) Flush() (lost []rules.NoticeID, err error) {
-	if len(l.out) == 0 {
+	if len(l.pending) == 0 {
 		return nil, nil
 	}
-	if l.stale {
+	if l.needsCompaction {
 		err = l.Compact()
 	} else {
-		err = l.write()
+		err = l.writePending()
 	}
 	if err != nil {
-		lost = slices.Clone(l.unsure)
+		lost = slices.Clone(l.unwritten)
 		for _, number := range lost {
-			l.drop(number)
+			l.forget(number)
 		}
-		// What else waits, that a notice is over, is told again by compacting.
-		l.out, l.unsure, l.stale = l.out[:0], l.unsure[:0], true
+		// The other pending records are of closed notices or of trips that did not run. The next compaction covers
+		// them.
+		l.pending, l.unwritten, l.needsCompaction = l.pending[:0], l.unwritten[:0], true
 		return lost, err
 	}
-	l.settle()
+	l.markWritten()
 	return nil, nil
 }
 
-func appendRecord(b []byte, number rules.NoticeID, kind byte, rest []byte) []byte {
-	at := len(b)
-	b = append(b, make([]byte, headSize)...)
-	b = append(b, kind)
-	b = binary.LittleEndian.AppendUint32(b, uint32(number))
-	b = append(b, rest...)
-	body := b[at+headSize:]
-	binary.LittleEndian.PutUint32(b[at:], uint32(len(body)))
-	binary.LittleEndian.PutUint32(b[at+4:], crc32.ChecksumIEEE(body))
-	return b
+// appendRecord appends a record with its header to a buffer.
+func appendRecord(buffer []byte, number rules.NoticeID, kind byte, payload []byte) []byte {
+	start := len(buffer)
+	buffer = append(buffer, make([]byte, headerSize)...)
+	buffer = append(buffer, kind)
+	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(number))
+	buffer = append(buffer, payload...)
+	body := buffer[start+headerSize:]
+	binary.LittleEndian.PutUint32(buffer[start:], uint32(len(body)))
+	binary.LittleEndian.PutUint32(buffer[start+4:], crc32.ChecksumIEEE(body))
+	return buffer
 }
 
-// keep remembers what a record says.
-func (l *Ledger) keep(number rules.NoticeID, kind byte, record []byte) {
-	k := l.notices[number]
-	if k == nil {
-		k = &kept{}
-		l.notices[number] = k
-		l.live += reserve
+// apply updates the live records of a notice with a record.
+func (l *Ledger) apply(number rules.NoticeID, kind byte, record []byte) {
+	records := l.notices[number]
+	if records == nil {
+		records = &liveRecords{}
+		l.notices[number] = records
+		l.liveBytes += reservedPerNotice
 	}
 	switch kind {
-	case kindTaken:
-		k.taken = bytes.Clone(record)
-		l.live += int64(len(record))
+	case kindAccepted:
+		records.accepted = bytes.Clone(record)
+		l.liveBytes += int64(len(record))
 	case kindTrip:
-		k.ran = append(k.ran, bytes.Clone(record))
-	case kindUnrun:
-		if len(k.ran) > 0 {
-			k.ran = k.ran[:len(k.ran)-1]
-			k.unrun++
+		records.trips = append(records.trips, bytes.Clone(record))
+	case kindNotRun:
+		if len(records.trips) > 0 {
+			records.trips = records.trips[:len(records.trips)-1]
+			records.tripsNotRun++
 		}
-	case kindMade:
-		k.unrun += binary.LittleEndian.Uint32(record[headSize+leastLen:])
-	case kindEnded:
-		k.ended = bytes.Clone(record)
+	case kindTripsNotRun:
+		records.tripsNotRun += binary.LittleEndian.Uint32(record[headerSize+minRecordLen:])
+	case kindOutcome:
+		records.outcome = bytes.Clone(record)
 	}
 }
 
-func (l *Ledger) drop(number rules.NoticeID) {
-	if k := l.notices[number]; k != nil {
-		l.live -= int64(len(k.taken) + reserve)
+// forget removes the live records of a notice.
+func (l *Ledger) forget(number rules.NoticeID) {
+	if records := l.notices[number]; records != nil {
+		l.liveBytes -= int64(len(records.accepted) + reservedPerNotice)
 		delete(l.notices, number)
 	}
 }
 
-// Compact writes the live records to a new file, which takes the old one's place in one step.
+// Compact writes the live records, with those still pending, to a new file and renames it over the old one.
 func (l *Ledger) Compact() error {
 	numbers := make([]rules.NoticeID, 0, len(l.notices))
 	for number := range l.notices {
 		numbers = append(numbers, number)
 	}
 	slices.Sort(numbers)
-	var text []byte
+	var data []byte
 	for _, number := range numbers {
-		k := l.notices[number]
-		text = append(text, k.taken...)
-		if k.unrun > 0 {
-			text = appendRecord(text, number, kindMade, binary.LittleEndian.AppendUint32(nil, k.unrun))
+		records := l.notices[number]
+		data = append(data, records.accepted...)
+		if records.tripsNotRun > 0 {
+			data = appendRecord(data, number, kindTripsNotRun, binary.LittleEndian.AppendUint32(nil, records.tripsNotRun))
 		}
-		for _, trip := range k.ran {
-			text = append(text, trip...)
+		for _, trip := range records.trips {
+			data = append(data, trip...)
 		}
-		text = append(text, k.ended...)
+		data = append(data, records.outcome...)
 	}
-	fresh, err := os.OpenFile(l.path()+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	newFile, err := os.OpenFile(l.path()+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	if _, err = fresh.Write(text); err == nil {
+	if _, err = newFile.Write(data); err == nil {
 		err = os.Rename(l.path()+".new", l.path())
 	}
 	if err != nil {
-		fresh.Close()
+		newFile.Close()
 		os.Remove(l.path() + ".new")
 		return err
 	}
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.file, l.size = fresh, int64(len(text))
-	l.out, l.unsure, l.stale = l.out[:0], l.unsure[:0], false // all is in what is live
+	l.file, l.size = newFile, int64(len(data))
+	// The pending records were written as part of the live ones.
+	l.pending, l.unwritten, l.needsCompaction = l.pending[:0], l.unwritten[:0], false
 	return nil
 }
 
-// Close writes what waits and closes the file.
+// Close writes the pending records and closes the file.
 func (l *Ledger) Close() error {
 	_, err := l.Flush()
 	return errors.Join(err, l.file.Close())
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -13,30 +13,31 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var at = time.UnixMilli(1_800_000_000_000).UTC()
+var startTime = time.UnixMilli(1_800_000_000_000).UTC()
 
-func notice(number rules.NoticeID, body string) Notice {
-	return Notice{Number: number, ID: fmt.Sprintf("id-%d", number), Grade: "g", Destination: 7, Until: at, Body: []byte(body)}
+func newNotice(number rules.NoticeID, body string) Notice {
+	return Notice{Number: number, ID: fmt.Sprintf("id-%d", number), Grade: "g", Destination: 7, Until: startTime,
+		Body: []byte(body)}
 }
 
-func open(t *testing.T, folder string, room int64) (*Ledger, string) {
+func openLedger(t *testing.T, stateDir string, capacity int64) (*Ledger, string) {
 	t.Helper()
-	l, owed, err := Open(folder, room)
+	l, pending, err := Open(stateDir, capacity)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var text strings.Builder
-	for _, n := range owed {
+	for _, n := range pending {
 		fmt.Fprintf(&text, "%s to %d %q trips %d ran", n.ID, n.Destination, n.Body, n.Trips)
 		for _, r := range n.Ran {
-			fmt.Fprintf(&text, " %s+%d", r.Zone, r.At.Sub(at).Milliseconds())
+			fmt.Fprintf(&text, " %s+%d", r.Zone, r.At.Sub(startTime).Milliseconds())
 		}
 		fmt.Fprintf(&text, " %s %v\n", n.Ended, n.RetryMS)
 	}
 	return l, text.String()
 }
 
-func must(t *testing.T, errs ...error) {
+func failOnError(t *testing.T, errs ...error) {
 	t.Helper()
 	if err := errors.Join(errs...); err != nil {
 		t.Fatal(err)
@@ -48,137 +49,143 @@
 	return err
 }
 
-// The records of a turn wait for the first that must be on disk; what can't be written is told, and nothing comes back to
-// life by it.
-func TestWaitsForOneWrite(t *testing.T) {
-	folder := t.TempDir()
-	l, _ := open(t, folder, 1<<20)
-	must(t, l.Taken(notice(1, "one")), l.Taken(notice(2, "two")))
+// Guards against one write per record, against a call that is sent before its notice is in the file, and against a
+// rejected notice that returns after a restart: acceptances wait for the next trip or Flush, and after a failed
+// write Flush returns the notices that were lost and none of them is in the file.
+func TestRecordsWaitForOneWrite(t *testing.T) {
+	stateDir := t.TempDir()
+	l, _ := openLedger(t, stateDir, 1<<20)
+	failOnError(t, l.Taken(newNotice(1, "one")), l.Taken(newNotice(2, "two")))
 	if l.Size() != 0 {
-		t.Errorf("%d bytes were written before they had to be", l.Size())
-	}
-	must(t, l.Trip(1, Trip{at, "a"}))
-	if _, got := open(t, folder, 1<<20); !strings.Contains(got, "two") || !strings.Contains(got, "a+0") {
-		t.Errorf("a call leaves before what was taken with it is written: %s", got)
-	}
-	folder = t.TempDir()
-	l, _ = open(t, folder, 1<<20)
-	must(t, l.Taken(notice(1, "one")), flush(l))
-	good := l.file
-	bad, err := os.Open(l.path()) // can't be written to
-	must(t, err)
-	l.file = bad
-	must(t, l.Closed(1), l.Taken(notice(3, "three")))
-	if l.Trip(3, Trip{at, "a"}) == nil {
-		t.Error("a trip that could not be written is told as written")
+		t.Errorf("%d bytes were written before a trip or Flush, want 0", l.Size())
+	}
+	failOnError(t, l.Trip(1, Trip{startTime, "a"}))
+	if _, got := openLedger(t, stateDir, 1<<20); !strings.Contains(got, "two") || !strings.Contains(got, "a+0") {
+		t.Errorf("the file lacks notices accepted before a recorded trip: %s", got)
+	}
+	stateDir = t.TempDir()
+	l, _ = openLedger(t, stateDir, 1<<20)
+	failOnError(t, l.Taken(newNotice(1, "one")), flush(l))
+	writableFile := l.file
+	readOnlyFile, err := os.Open(l.path()) // opened read-only, so that writes fail
+	failOnError(t, err)
+	l.file = readOnlyFile
+	failOnError(t, l.Closed(1), l.Taken(newNotice(3, "three")))
+	if l.Trip(3, Trip{startTime, "a"}) == nil {
+		t.Error("Trip returned no error although the file is not writable")
 	}
 	lost, err := l.Flush()
 	if diff := cmp.Diff([]rules.NoticeID{3}, lost); err == nil || diff != "" {
-		t.Errorf("%v %s", err, diff)
+		t.Errorf("Flush of an unwritable ledger: error %v, lost notices -want +got:\n%s", err, diff)
 	}
-	l.file = good
-	must(t, l.Taken(notice(4, "four")), flush(l))
-	if _, got := open(t, folder, 1<<20); got != "id-4 to 7 \"four\" trips 0 ran  0\n" {
-		t.Errorf("after the disk could be written again: %s", got)
+	l.file = writableFile
+	failOnError(t, l.Taken(newNotice(4, "four")), flush(l))
+	if _, got := openLedger(t, stateDir, 1<<20); got != "id-4 to 7 \"four\" trips 0 ran  0\n" {
+		t.Errorf("pending notices after the file became writable again: %s", got)
 	}
 }
 
-func TestWhatOutlivesTheProcess(t *testing.T) {
-	folder := t.TempDir()
-	l, _ := open(t, folder, 1<<20)
-	must(t,
-		l.Taken(notice(1, "one")), l.Taken(notice(2, "two")), l.Taken(notice(3, "three")), l.Taken(notice(4, "four")),
-		l.Trip(1, Trip{at, "a"}), l.Unrun(1), l.Trip(1, Trip{at.Add(time.Second), "b"}),
-		l.Trip(2, Trip{at, "a"}), l.Closed(2), l.Closed(2),
-		l.Trip(3, Trip{at, "a"}), l.Unrun(3),
+// Guards against trips, outcomes or closings that are lost or restored wrongly when the ledger is opened again.
+func TestPendingNoticesSurviveRestart(t *testing.T) {
+	stateDir := t.TempDir()
+	l, _ := openLedger(t, stateDir, 1<<20)
+	failOnError(t,
+		l.Taken(newNotice(1, "one")), l.Taken(newNotice(2, "two")),
+		l.Taken(newNotice(3, "three")), l.Taken(newNotice(4, "four")),
+		l.Trip(1, Trip{startTime, "a"}), l.Unrun(1), l.Trip(1, Trip{startTime.Add(time.Second), "b"}),
+		l.Trip(2, Trip{startTime, "a"}), l.Closed(2), l.Closed(2),
+		l.Trip(3, Trip{startTime, "a"}), l.Unrun(3),
 		l.Ended(4, "handed_back", 500), l.Closed(9), flush(l),
 	)
 	want := `id-1 to 7 "one" trips 2 ran b+1000  0
 id-3 to 7 "three" trips 1 ran  0
 id-4 to 7 "four" trips 0 ran handed_back 500
 `
-	_, got := open(t, folder, 1<<20)
+	_, got := openLedger(t, stateDir, 1<<20)
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("-want +got:\n%s", diff)
 	}
 }
 
-// A process may be killed within a write, wherever it is.
+// Guards against a record that was cut off at any byte by a kill during its write: the records before it are read,
+// and those that are written after the restart too.
 func TestTornEnd(t *testing.T) {
-	folder := t.TempDir()
-	l, _ := open(t, folder, 1<<20)
-	must(t, l.Taken(notice(1, "one")), flush(l))
-	whole := l.Size()
-	must(t, l.Taken(notice(2, "two")), flush(l))
-	path := filepath.Join(folder, fileName)
-	text, err := os.ReadFile(path)
-	must(t, err)
-	for size := whole; size < int64(len(text)); size++ {
-		must(t, os.WriteFile(path, text[:size], 0o600))
-		l, got := open(t, folder, 1<<20)
+	stateDir := t.TempDir()
+	l, _ := openLedger(t, stateDir, 1<<20)
+	failOnError(t, l.Taken(newNotice(1, "one")), flush(l))
+	firstRecordEnd := l.Size()
+	failOnError(t, l.Taken(newNotice(2, "two")), flush(l))
+	path := filepath.Join(stateDir, fileName)
+	data, err := os.ReadFile(path)
+	failOnError(t, err)
+	for size := firstRecordEnd; size < int64(len(data)); size++ {
+		failOnError(t, os.WriteFile(path, data[:size], 0o600))
+		l, got := openLedger(t, stateDir, 1<<20)
 		if diff := cmp.Diff("id-1 to 7 \"one\" trips 0 ran  0\n", got); diff != "" {
-			t.Fatalf("%d bytes of the second record: %s", size-whole, diff)
+			t.Fatalf("%d bytes of the second record: %s", size-firstRecordEnd, diff)
 		}
-		if l.Torn != int(size-whole) {
-			t.Fatalf("%d bytes of the second record: %d told", size-whole, l.Torn)
+		if l.Torn != int(size-firstRecordEnd) {
+			t.Fatalf("%d bytes of the second record: Torn is %d", size-firstRecordEnd, l.Torn)
 		}
-		must(t, l.Taken(notice(5, "five")), flush(l))
-		if _, got = open(t, folder, 1<<20); !strings.Contains(got, "five") {
-			t.Fatalf("what follows a torn end is lost: %s", got)
+		failOnError(t, l.Taken(newNotice(5, "five")), flush(l))
+		if _, got = openLedger(t, stateDir, 1<<20); !strings.Contains(got, "five") {
+			t.Fatalf("a notice written after a torn end is missing: %s", got)
 		}
 	}
-	text[len(text)-1] ^= 1
-	must(t, os.WriteFile(path, text, 0o600))
-	if _, got := open(t, folder, 1<<20); strings.Contains(got, "two") {
-		t.Errorf("a record that does not fit its checksum was read: %s", got)
+	data[len(data)-1] ^= 1
+	failOnError(t, os.WriteFile(path, data, 0o600))
+	if _, got := openLedger(t, stateDir, 1<<20); strings.Contains(got, "two") {
+		t.Errorf("a record with a wrong checksum was read: %s", got)
 	}
 }
 
-// onDisk is what the folder takes, in blocks.
-func onDisk(t *testing.T, folder string) (size int64) {
-	files, err := os.ReadDir(folder)
-	must(t, err)
+// diskUsage returns the size of the state directory's files, each rounded up to blocks of 512 bytes.
+func diskUsage(t *testing.T, stateDir string) (size int64) {
+	files, err := os.ReadDir(stateDir)
+	failOnError(t, err)
 	for _, f := range files {
 		info, err := f.Info()
-		must(t, err)
+		failOnError(t, err)
 		size += (info.Size() + 511) / 512 * 512
 	}
 	return size
 }
 
-func TestStaysWithinItsRoom(t *testing.T) {
-	const room = 64 << 10
-	folder := t.TempDir()
-	l, _ := open(t, folder, room)
+// Guards against a ledger that outgrows its capacity, and against a full one that cannot record the trips of its
+// notices.
+func TestStaysWithinCapacity(t *testing.T) {
+	const capacity = 64 << 10
+	stateDir := t.TempDir()
+	l, _ := openLedger(t, stateDir, capacity)
 	body := strings.Repeat("b", 1000)
 	var number rules.NoticeID
-	for range 500 { // many more than fit at once
+	for range 500 { // many more than the capacity allows at once
 		number++
-		must(t, l.Taken(notice(number, body)), l.Trip(number, Trip{at, "a"}), l.Closed(number))
-		if size := onDisk(t, folder); size > room {
+		failOnError(t, l.Taken(newNotice(number, body)), l.Trip(number, Trip{startTime, "a"}), l.Closed(number))
+		if size := diskUsage(t, stateDir); size > capacity {
 			t.Fatalf("%d bytes on disk", size)
 		}
 	}
 	live := 0
 	for ; ; live++ {
 		number++
-		if err := l.Taken(notice(number, body)); errors.Is(err, ErrFull) {
+		if err := l.Taken(newNotice(number, body)); errors.Is(err, ErrFull) {
 			break
 		} else {
-			must(t, err)
+			failOnError(t, err)
 		}
 	}
-	for range 12 { // what is taken on can still be served
+	for range 12 { // the accepted notices can still record trips
 		for n := number - rules.NoticeID(live); n < number; n++ {
-			must(t, l.Trip(n, Trip{at, "a"}), l.Unrun(n))
+			failOnError(t, l.Trip(n, Trip{startTime, "a"}), l.Unrun(n))
 		}
-		if size := onDisk(t, folder); size > room {
-			t.Fatalf("%d bytes on disk while full", size)
+		if size := diskUsage(t, stateDir); size > capacity {
+			t.Fatalf("%d bytes on disk with a full ledger", size)
 		}
 	}
-	must(t, flush(l))
-	_, got := open(t, folder, room)
+	failOnError(t, flush(l))
+	_, got := openLedger(t, stateDir, capacity)
 	if n := strings.Count(got, "trips 12"); n != live || live < 15 {
-		t.Errorf("%d of %d notices are kept with their trips", n, live)
+		t.Errorf("%d of %d notices were restored with 12 trips, want all and at least 15", n, live)
 	}
 }
