--- a/internal/loop/admission.go
+++ b/internal/loop/admission.go
@@ -14,54 +14,59 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Notices from their being read to their clients' answers.
+// This file accepts or rejects the notices that clients submit, and answers the clients.
 
-// take makes notices of the requests that have come, as far as there is room. An id that was taken on before is
-// another client's: what is done under it would be done to that one's notice.
-func (l *Loop) take() (taken []rules.NoticeID) {
+// createNotices turns the requests received since the last turn into notices, as far as there is capacity, and
+// rejects the others. A request whose id was accepted before is rejected: its outcome would be attributed to the
+// earlier notice of another client.
+func (l *Loop) createNotices() (submitted []rules.NoticeID) {
 	for _, r := range l.intake.Take() {
 		hold := l.config.Settings.HoldLimit
 		switch {
-		case l.ids.has(r.ID):
-			l.counters.Repeated++
-			l.refuse(r, 409)
+		case l.acceptedIDs.has(r.ID):
+			l.counters.RepeatedIDs++
+			l.reject(r, 409)
 			continue
-		case hold > 0 && len(l.notices)-l.answered >= hold:
-			l.counters.NoHold++
-			l.refuse(r, 503)
+		case hold > 0 && len(l.notices)-l.awaitingConfirmation >= hold:
+			l.counters.OverHoldLimit++
+			l.reject(r, 503)
 			continue
 		case l.heldBytes+r.Body.Held() > l.config.Limits.HeldBytes:
-			l.counters.NoBytes++
-			l.refuse(r, 503)
+			l.counters.OverBodyMemory++
+			l.reject(r, 503)
 			continue
 		}
-		l.last++
-		l.ids.add(r.ID, l.now)
+		l.lastNumber++
+		l.acceptedIDs.add(r.ID, l.now)
 		l.heldBytes += r.Body.Held()
-		l.notices[l.last] = &held{id: r.ID, mark: r.Mark, destination: r.Destination, takenAt: l.clock.Now(), body: r.Body, request: r}
-		taken = append(taken, l.last)
-		l.events = append(l.events, rules.NoticeTaken{Notice: l.last, Grade: r.Grade, Portfolio: r.Portfolio,
-			Key: r.Key, Destination: r.Destination, Left: r.Left, Waited: millis(l.waited(r)), Inherited: r.Inherited, Room: l.room(r.Body)})
+		l.notices[l.lastNumber] = &heldNotice{id: r.ID, mark: r.Mark, destination: r.Destination, acceptedAt: l.clock.Now(),
+			body: r.Body, request: r}
+		submitted = append(submitted, l.lastNumber)
+		l.events = append(l.events, rules.NoticeTaken{Notice: l.lastNumber, Grade: r.Grade, Portfolio: r.Portfolio,
+			Key: r.Key, Destination: r.Destination, Left: r.Left, Waited: toMillis(l.readDelay(r)),
+			Inherited: r.Inherited, Room: l.capacityShare(r.Body)})
 	}
-	return taken
+	return submitted
 }
 
-// waited is how long a request may have waited to be read: as what came last, and before that behind others of its client.
-func (l *Loop) waited(r *intake.Request) time.Duration {
-	waited := l.arrivals.waited(l.now)
+// readDelay returns an upper bound of the time that a request waited to be read: the time that unread bytes may
+// have waited in its socket, and the time that it then waited behind earlier requests of its client.
+func (l *Loop) readDelay(r *intake.Request) time.Duration {
+	delay := l.arrivals.maxReadDelay(l.now)
 	if !r.Since.IsZero() {
-		waited += l.now.Sub(r.Since)
+		delay += l.now.Sub(r.Since)
 	}
-	return waited
+	return delay
 }
 
-// room is the share of what this sender can hold that a notice takes: of the memory for bodies or of the ledger, whichever
-// it takes more of.
-func (l *Loop) room(body *buffers.Chain) float64 {
+// capacityShare returns the share of this sender's capacity that a notice uses: of the memory for bodies or of the
+// ledger, whichever is larger.
+func (l *Loop) capacityShare(body *buffers.Chain) float64 {
 	return max(float64(body.Held())/float64(l.config.Limits.HeldBytes), ledger.Share(l.config.Limits.Disk, body.Len()))
 }
 
-func (l *Loop) refuse(r *intake.Request, status int) {
+// reject answers a request with an error status instead of accepting it.
+func (l *Loop) reject(r *intake.Request, status int) {
 	if l.tracing {
 		l.log.Debug(logs.Refused, "id", r.ID, "status", status)
 	}
@@ -69,77 +74,81 @@
 	l.intake.Answer(r, status, 0)
 }
 
-// admitted is a notice that its client will be told is taken on.
-type admitted struct {
+// admittedNotice is a notice that was passed to the ledger and not yet acknowledged to its client.
+type admittedNotice struct {
 	number  rules.NoticeID
 	request *intake.Request
 }
 
-// admit answers the clients of notices just handed in that the decisions end in the same turn, and gives the others to the
-// ledger.
-func (l *Loop) admit(taken []rules.NoticeID, actions []rules.Action) (all []admitted) {
-	if len(taken) == 0 {
+// admit answers the clients of those newly submitted notices that the decisions dismiss or break off in the same
+// turn, and records the other notices in the ledger.
+func (l *Loop) admit(submitted []rules.NoticeID, actions []rules.Action) (admitted []admittedNotice) {
+	if len(submitted) == 0 {
 		return nil
 	}
-	ended := rules.Ends(actions)
-	for _, number := range taken {
+	finalActions := rules.Ends(actions)
+	for _, number := range submitted {
 		n := l.notices[number]
 		r := n.request
-		switch a := ended[number].(type) {
+		switch a := finalActions[number].(type) {
 		case rules.Dismiss:
-			l.dismissed(r, 429, a.RetryAfter)
+			l.answerDismissed(r, 429, a.RetryAfter)
 			continue
 		case rules.BreakOff:
-			l.dismissed(r, 500, 0)
+			l.answerDismissed(r, 500, 0)
 			continue
 		}
 		err := l.ledger.Taken(ledger.Notice{Number: number, ID: r.ID, Mark: r.Mark,
 			Grade:     settings.Name(l.config.Names.Grades, int(r.Grade)),
 			Portfolio: settings.Name(l.config.Names.Portfolios, int(r.Portfolio)), Key: r.Key, Destination: r.Destination,
-			Until: l.now.Add(span(r.Left)), TakenAt: n.takenAt, WaitedMS: int64(math.Ceil(float64(millis(l.waited(r))))), Inherited: r.Inherited, Body: r.Body.AppendTo(nil)})
+			Until: l.now.Add(toDuration(r.Left)), TakenAt: n.acceptedAt,
+			WaitedMS: int64(math.Ceil(float64(toMillis(l.readDelay(r))))), Inherited: r.Inherited, Body: r.Body.AppendTo(nil)})
 		if err != nil {
 			l.withdraw(number, r)
 			continue
 		}
 		n.request = nil
-		all = append(all, admitted{number, r})
+		admitted = append(admitted, admittedNotice{number, r})
 	}
-	return all
+	return admitted
 }
 
-// withdraw turns a notice away that the ledger can't keep.
+// withdraw rejects a notice that the ledger could not record and removes it from the loop and from the decisions.
 func (l *Loop) withdraw(number rules.NoticeID, r *intake.Request) {
-	l.counters.NoDisk++
+	l.counters.OverLedgerCapacity++
 	l.intake.Answer(r, 503, 0)
 	n := l.notices[number]
-	n.over = true
-	l.calls.CallOff(number) // a call whose connection is still coming up must not leave
+	n.ended = true
+	l.calls.CallOff(number) // a call whose connection is still being established must not be sent
 	l.release(number, n)
 	l.events = append(l.events, rules.NoticeWithdrawn{Notice: number})
 }
 
-// acknowledge tells clients that their notices are taken on, once the ledger has them on disk: one write for all of a turn,
-// if no call left before.
-func (l *Loop) acknowledge(all []admitted) {
+// acknowledge answers clients that their notices are accepted, once the ledger has written them to its file. All
+// notices of a turn share one write, unless the record of a trip has already written them.
+func (l *Loop) acknowledge(admitted []admittedNotice) {
 	lost, err := l.ledger.Flush()
-	l.keep(err)
-	for _, a := range all {
+	l.logLedgerError(err)
+	for _, a := range admitted {
 		number, r := a.number, a.request
 		if slices.Contains(lost, number) {
 			l.withdraw(number, r)
 			continue
 		}
-		l.counters.Taken++
+		l.counters.Accepted++
 		if l.tracing {
-			l.log.Debug(logs.Taken, "id", r.ID, "notice", number, "grade", settings.Name(l.config.Names.Grades, int(r.Grade)),
-				"portfolio", settings.Name(l.config.Names.Portfolios, int(r.Portfolio)), "key", strconv.FormatUint(uint64(r.Key), 10),
-				"destination", r.Destination, "body", r.Body.Len(), "left", span(r.Left))
+			l.log.Debug(logs.Taken, "id", r.ID, "notice", number,
+				"grade", settings.Name(l.config.Names.Grades, int(r.Grade)),
+				"portfolio", settings.Name(l.config.Names.Portfolios, int(r.Portfolio)),
+				"key", strconv.FormatUint(uint64(r.Key), 10),
+				"destination", r.Destination, "body", r.Body.Len(), "left", toDuration(r.Left))
 		}
 		l.intake.Answer(r, 202, 0)
 	}
 }
 
-func (l *Loop) dismissed(r *intake.Request, status int, retryAfter rules.Millis) {
+// answerDismissed answers a client whose notice was dismissed or broken off in the turn in which it was submitted.
+func (l *Loop) answerDismissed(r *intake.Request, status int, retryAfter rules.Millis) {
 	l.counters.Dismissed++
 	if l.tracing {
 		l.log.Debug(logs.Refused, "id", r.ID, "status", status)
--- a/internal/loop/arrivals.go
+++ b/internal/loop/arrivals.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// readWithin is how long bytes that have come may take to be read in a process that runs.
-const readWithin = 50 * time.Millisecond
+// normalReadTime is the longest time that received bytes stay unread while the process is not paused.
+const normalReadTime = 50 * time.Millisecond
 
-// arrivals bounds how long what a turn has read may have waited. A process that was held up finds bytes that came meanwhile,
-// and it may find its timers due before it finds the bytes: so a turn tells that all that came before it was read only once
-// a later one has had the time to read it.
+// arrivals computes an upper bound of the time that bytes read in this turn waited in their sockets. After a pause
+// of the process, bytes that arrived during the pause are still unread, and the first turn may be started by a
+// timer that expired in the meantime, before those bytes are read. So everything that arrived before a turn counts
+// as read only from a turn that begins at least normalReadTime later.
 type arrivals struct {
-	allReadBy time.Time // what came before was read
-	next      time.Time // the turn that allReadBy becomes
+	allReadBefore     time.Time // bytes that arrived before this time have been read
+	nextAllReadBefore time.Time // beginning of the turn that becomes allReadBefore next
 }
 
-func newArrivals(now time.Time) arrivals { return arrivals{allReadBy: now, next: now} }
+// newArrivals returns arrivals for a process that has read everything by now.
+func newArrivals(now time.Time) arrivals { return arrivals{allReadBefore: now, nextAllReadBefore: now} }
 
-// turn notes the beginning of a turn.
-func (a *arrivals) turn(now time.Time) {
-	if now.Sub(a.next) >= readWithin {
-		a.allReadBy, a.next = a.next, now
+// startTurn records the beginning of a turn.
+func (a *arrivals) startTurn(now time.Time) {
+	if now.Sub(a.nextAllReadBefore) >= normalReadTime {
+		a.allReadBefore, a.nextAllReadBefore = a.nextAllReadBefore, now
 	}
 }
 
-// waited is how long what is read now may have waited.
-func (a *arrivals) waited(now time.Time) time.Duration { return now.Sub(a.allReadBy) }
+// maxReadDelay returns the longest time that bytes read now may have waited.
+func (a *arrivals) maxReadDelay(now time.Time) time.Duration { return now.Sub(a.allReadBefore) }
--- a/internal/loop/arrivals_test.go
+++ b/internal/loop/arrivals_test.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-func TestRequestReadByTheSecondTurnAfterAHoldUpMayHaveWaitedForAllOfIt(t *testing.T) {
-	const held = 300 * time.Millisecond
+// Guards against a read delay that is underestimated after a pause of the process: the first turn afterwards may
+// run before the bytes that arrived in the pause are read, and the second one reads them.
+func TestReadDelayInTheSecondTurnAfterAPauseCoversThePause(t *testing.T) {
+	const pause = 300 * time.Millisecond
 	now := time.Unix(0, 0)
 	a := newArrivals(now)
-	step := func(span time.Duration) {
-		now = now.Add(span)
-		a.turn(now)
+	step := func(elapsed time.Duration) {
+		now = now.Add(elapsed)
+		a.startTurn(now)
 	}
 	for range 100 {
 		step(time.Millisecond)
 	}
-	if waited := a.waited(now); waited > 2*readWithin {
-		t.Errorf("waited %v without a hold-up", waited)
+	if waited := a.maxReadDelay(now); waited > 2*normalReadTime {
+		t.Errorf("read delay of up to %v without a pause", waited)
 	}
-	step(held)
+	step(pause)
 	step(time.Millisecond)
-	if waited := a.waited(now); waited < held {
-		t.Errorf("waited %v, held up for %v", waited, held)
+	if waited := a.maxReadDelay(now); waited < pause {
+		t.Errorf("read delay of up to %v, less than the pause of %v", waited, pause)
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,6 @@
-// Package loop joins the sockets, the ledger and the decisions. One goroutine runs it and owns them all: it
-// gathers what has happened, lets the decisions be made in one go, and carries them out in their order.
+// Package loop connects the sockets, the ledger and the decisions of package rules. It is an event loop in a single
+// goroutine, which owns them all: each turn collects the events since the last one, passes them to the decisions in
+// one batch, and executes the resulting actions in their order.
 package loop
 
 import (
@@ -24,7 +25,8 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Config is what a sender is told.
+// Config is the configuration of a sender. Listen and Discovery are network addresses, State is the state
+// directory, and Known is the receiver list to start with.
 type Config struct {
 	Listen, Discovery, State string
 	Seed                     uint64
@@ -34,22 +36,22 @@
 	Limits                   limits.Limits
 }
 
-// held is a notice that the sender owes its end.
-type held struct {
+// heldNotice is a notice that the sender still has to deliver or to end, or whose last outcome is unconfirmed.
+type heldNotice struct {
 	id, mark string
 
-	destination rules.DestinationID
-	takenAt     clock.Moment
-	body        *buffers.Chain
-	request     *intake.Request // until its client has its answer
-	out         bool            // a trip is out
-	recorded    bool            // and the ledger has it
-	over        bool
-	trips       int  // begun in this process
-	unconfirmed bool // what its last trip came to may be doubted yet, and is not in the ledger
+	destination  rules.DestinationID
+	acceptedAt   clock.Moment
+	body         *buffers.Chain
+	request      *intake.Request // nil once its client is answered
+	inFlight     bool            // a trip is in flight
+	tripRecorded bool            // the trip in flight is recorded in the ledger
+	ended        bool
+	trips        int  // number of trips started
+	unconfirmed  bool // the last trip's outcome may still be retracted and is not in the ledger
 }
 
-// Loop is the running sender.
+// Loop is a running sender.
 type Loop struct {
 	config    Config
 	log       *slog.Logger
@@ -62,65 +64,68 @@
 	ledger    *ledger.Ledger
 	sender    *rules.Sender
 
-	clock        clock.Clock
-	started, now time.Time
-	arrivals     arrivals
-	notices      map[rules.NoticeID]*held
-	last         rules.NoticeID
-	answered     int             // notices that are over and kept until their answers are confirmed
-	restored     []ledger.Notice // owed from before the start, not told to the decisions yet
-	heldBytes    int
-	ids          recent
-	ended        recent      // the ids of notices that have their ends: none is told twice
-	timers       []time.Time // asked for by the decisions
-	events       []rules.Event
-	sweepAt      time.Time
-	leavingAt    time.Time
-	counters     Counters
-	pace         pace
-	tracing      bool // each notice's way is logged
+	clock                clock.Clock
+	started, now         time.Time
+	arrivals             arrivals
+	notices              map[rules.NoticeID]*heldNotice
+	lastNumber           rules.NoticeID
+	awaitingConfirmation int             // number of ended notices that are held until their outcomes are confirmed
+	restored             []ledger.Notice // pending since an earlier process, not yet passed to the decisions
+	heldBytes            int
+	acceptedIDs          recentIDs
+	endedIDs             recentIDs   // notices whose final outcome was reported, which must not happen twice
+	timers               []time.Time // requested by the decisions
+	events               []rules.Event
+	nextSweep            time.Time
+	shutdownAt           time.Time
+	counters             Counters
+	pacer                pacer
+	tracing              bool // the steps of each notice are logged
 }
 
-// New opens the ledger and the sockets.
+// New opens the ledger, restores its notices and opens the sockets.
 func New(c Config, log *slog.Logger) (*Loop, error) {
-	l := &Loop{config: c, log: log, started: time.Now(), notices: map[rules.NoticeID]*held{},
+	l := &Loop{config: c, log: log, started: time.Now(), notices: map[rules.NoticeID]*heldNotice{},
 		buffers: buffers.NewPool(c.Limits.Buffer), receivers: directory.NewReceivers(c.Names)}
 	l.now, l.arrivals, l.clock = l.started, newArrivals(l.started), clock.New()
-	l.pace = pace{most: c.Limits.Turn, cores: c.Limits.Cores}
+	l.pacer = pacer{maxSpacing: c.Limits.Turn, cores: c.Limits.Cores}
 	l.tracing = log.Enabled(context.Background(), slog.LevelDebug)
 	for _, g := range c.Settings.Grades {
-		l.ids.span = max(l.ids.span, span(g.ClientTimeout))
-		l.ended.span = l.ids.span
+		l.acceptedIDs.retention = max(l.acceptedIDs.retention, toDuration(g.ClientTimeout))
+		l.endedIDs.retention = l.acceptedIDs.retention
 	}
-	// A call needs a connection, and an answer's rest may hold one for a while: slots beyond that would be a promise.
-	if most := c.Limits.Receivers - c.Limits.Receivers/16; l.config.Settings.Slots > most {
-		log.Warn(logs.SlotsCapped, "slots", l.config.Settings.Slots, "connections", c.Limits.Receivers, "capped", most)
-		l.config.Settings.Slots = most
+	// Each call needs a connection, and the rest of a response may occupy one for a while longer. More slots than
+	// that could not be served.
+	if maxSlots := c.Limits.Receivers - c.Limits.Receivers/16; l.config.Settings.Slots > maxSlots {
+		log.Warn(logs.SlotsCapped, "slots", l.config.Settings.Slots, "connections", c.Limits.Receivers, "capped", maxSlots)
+		l.config.Settings.Slots = maxSlots
 	}
-	// A call carries one notice here.
+	// This sender's calls carry one notice each.
 	for i := range l.config.Settings.Kinds {
 		l.config.Settings.Kinds[i].PerCall = 1
 	}
-	l.config.Settings.Stall = millis(c.Limits.Stall)
+	l.config.Settings.Stall = toMillis(c.Limits.Stall)
 	l.sender = rules.New(c.Seed, l.config.Settings)
-	l.intake = intake.New(c.Limits, l.buffers, c.Names, l.receivers.Knows, func() string { return l.counted().Page() })
-	l.calls = calls.New(c.Limits, l.buffers, c.Names.Report, log, calls.Hooks{Record: l.record, ConfirmTime: l.confirmTime, WaitsToSettle: l.waitsToSettle})
+	l.intake = intake.New(c.Limits, l.buffers, c.Names, l.receivers.Knows,
+		func() string { return l.currentCounters().Page() })
+	l.calls = calls.New(c.Limits, l.buffers, c.Names.Report, log, calls.Hooks{
+		Record: l.recordTrip, ConfirmTime: l.confirmTime, WaitsToSettle: l.waitsToSettle})
 	l.directory = directory.New(c.Discovery, c.Limits, l.buffers, l.receivers, c.Known.Revision)
 	known := c.Known
 	known.Complete = true
-	told, err := l.receivers.Told(known)
+	listed, err := l.receivers.Told(known)
 	if err != nil {
-		return nil, fmt.Errorf("known receivers: %w", err)
+		return nil, fmt.Errorf("the configured receivers are invalid: %w", err)
 	}
-	l.events = append(l.events, told)
-	var owed []ledger.Notice
-	if l.ledger, owed, err = ledger.Open(c.State, c.Limits.Disk); err != nil {
+	l.events = append(l.events, listed)
+	var pending []ledger.Notice
+	if l.ledger, pending, err = ledger.Open(c.State, c.Limits.Disk); err != nil {
 		return nil, err
 	}
 	if l.ledger.Torn > 0 {
 		log.Warn(logs.LedgerTorn, "bytes", l.ledger.Torn)
 	}
-	for _, n := range owed {
+	for _, n := range pending {
 		l.restore(n)
 	}
 	if l.net, err = sockets.Start(c.Listen, c.Limits, l.buffers, l.intake); err != nil {
@@ -135,17 +140,23 @@
 	return l, nil
 }
 
-func millis(d time.Duration) rules.Millis { return rules.Millis(d) / rules.Millis(time.Millisecond) }
+// toMillis converts a duration to the decisions' milliseconds.
+func toMillis(d time.Duration) rules.Millis { return rules.Millis(d) / rules.Millis(time.Millisecond) }
 
-func span(m rules.Millis) time.Duration { return time.Duration(m * rules.Millis(time.Millisecond)) }
+// toDuration converts the decisions' milliseconds to a duration.
+func toDuration(milliseconds rules.Millis) time.Duration {
+	return time.Duration(milliseconds * rules.Millis(time.Millisecond))
+}
 
-// Signals is what a running sender can be told from outside.
+// Signals holds the requests from outside that a running sender reacts to: to shut down, to log its counters, and
+// to reload its configuration.
 type Signals struct {
 	Leave, Tell, Reload <-chan os.Signal
-	Read                func() (Config, error) // the configuration as it is now
+	Read                func() (Config, error) // reads the current configuration
 }
 
-// Run serves until a signal to leave, and then until what is out has come back.
+// Run serves until a shutdown signal, and then until the calls in flight have their outcomes or the time for that
+// is over.
 func (l *Loop) Run(signals Signals) {
 	timer := time.NewTimer(0)
 	for {
@@ -153,38 +164,40 @@
 		case <-l.net.Ready():
 		case <-timer.C:
 		case <-signals.Tell:
-			l.log.Info(logs.CountersLine, "sender", l.counted(), "held", len(l.notices), "owed", l.directory.Owed())
+			l.log.Info(logs.CountersLine, "sender", l.currentCounters(), "held", len(l.notices), "owed", l.directory.Owed())
 		case <-signals.Reload:
 			l.reload(signals.Read())
 		case <-signals.Leave:
-			if l.leavingAt.IsZero() {
-				l.leavingAt = time.Now()
+			if l.shutdownAt.IsZero() {
+				l.shutdownAt = time.Now()
 				l.intake.Leaving = true
 				l.log.Info(logs.Leaving, "held", len(l.notices), "out", l.calls.Out())
 			}
 		}
-		// What comes close together is gathered in one turn, as far as the sender is busy.
-		time.Sleep(time.Until(l.now.Add(l.pace.spacing())))
+		// A busy sender waits here, so that one turn processes the events of a short period together.
+		time.Sleep(time.Until(l.now.Add(l.pacer.spacing())))
 		next, done := l.turn()
-		if l.pace.due(l.now) {
-			l.pace.look(l.now, processorTime())
+		if l.pacer.sampleDue(l.now) {
+			l.pacer.sample(l.now, processorTime())
 		}
 		if done {
 			break
 		}
 		timer.Reset(time.Until(next))
 	}
-	// A request that the poller has read meanwhile is refused; one that it has not read is its client's again.
+	// A request that the poller has read in the meantime is rejected. One that it has not read was never accepted,
+	// and its client can submit it elsewhere.
 	l.net.Seal()
 	for _, r := range l.intake.Take() {
-		l.refuse(r, 503)
+		l.reject(r, 503)
 	}
-	l.log.Info(logs.CountersLine, "sender", l.counted(), "held", len(l.notices), "owed", l.directory.Owed())
+	l.log.Info(logs.CountersLine, "sender", l.currentCounters(), "held", len(l.notices), "owed", l.directory.Owed())
 	l.net.Stop()
 	l.ledger.Close()
 }
 
-// reload takes a new configuration: the directory moves to its address. One that can't be read changes nothing.
+// reload applies a new configuration, of which only the address of the directory is used. An unreadable
+// configuration changes nothing.
 func (l *Loop) reload(c Config, err error) {
 	if err != nil {
 		for line := range strings.Lines(err.Error()) {
@@ -197,88 +210,89 @@
 	l.directory.Move(c.Discovery)
 }
 
-// turn is one round of the loop. It returns when the next is due, if nothing happens before.
+// turn runs one iteration of the loop. It returns when the next one is due if no event comes earlier, and whether
+// the loop is done.
 func (l *Loop) turn() (next time.Time, done bool) {
 	l.counters.Turns++
 	l.now = time.Now()
-	l.arrivals.turn(l.now)
+	l.arrivals.startTurn(l.now)
 	l.calls.Begin(l.now)
-	l.at(l.now)
+	l.setTime(l.now)
 	l.net.Gather()
-	// Waits are counted from here: what was gathered may have come after the turn began.
-	l.at(time.Now())
+	// Requested waits begin at this time: the responses just read may have arrived after the turn began.
+	l.setTime(time.Now())
 	l.intake.MakeRoom()
 	l.calls.Expire()
-	// A key rests from here: a call that was given up just now may still have been out before.
-	l.at(time.Now())
-	if !l.now.Before(l.sweepAt) {
-		l.sweepAt = l.now.Add(l.config.Limits.Sweep)
+	// The cooldown of a key begins at this time: a call that expired just now may have been in flight until now.
+	l.setTime(time.Now())
+	if !l.now.Before(l.nextSweep) {
+		l.nextSweep = l.now.Add(l.config.Limits.Sweep)
 		l.intake.Sweep(l.now)
 		l.calls.Sweep()
 	}
-	l.gather()
-	taken := l.take()
-	left := time.Duration(-1)
-	if !l.leavingAt.IsZero() {
-		left = l.now.Sub(l.leavingAt)
+	l.collectEvents()
+	submitted := l.createNotices()
+	sinceShutdown := time.Duration(-1)
+	if !l.shutdownAt.IsZero() {
+		sinceShutdown = l.now.Sub(l.shutdownAt)
 	}
-	if left < l.config.Limits.SendUntil {
+	if sinceShutdown < l.config.Limits.SendUntil {
 		if len(l.events) > 0 {
-			actions := l.sender.Decide(millis(l.now.Sub(l.started)), l.events)
+			actions := l.sender.Decide(toMillis(l.now.Sub(l.started)), l.events)
 			l.events = l.events[:0]
-			admitted := l.admit(taken, actions)
+			admitted := l.admit(submitted, actions)
 			for _, a := range actions {
-				l.carryOut(a)
+				l.execute(a)
 			}
 			l.acknowledge(admitted)
 		}
 	} else {
 		l.recallAll()
-		l.events = l.events[:0] // the ledger has kept what they told
+		l.events = l.events[:0] // what they report is already in the ledger
 	}
 	for _, number := range l.directory.Told() {
 		if l.tracing {
 			l.log.Debug(logs.Closed, "notice", number)
 		}
-		l.keep(l.ledger.Closed(number))
+		l.logLedgerError(l.ledger.Closed(number))
 	}
 	if _, err := l.ledger.Flush(); err != nil {
-		l.keep(err)
+		l.logLedgerError(err)
 	}
-	next = l.next()
-	limits := l.config.Limits
+	next = l.nextDue()
+	ownLimits := l.config.Limits
 	switch {
-	case left < 0:
-	case left >= limits.ExitBy:
+	case sinceShutdown < 0:
+	case sinceShutdown >= ownLimits.ExitBy:
 		done = true
-	case left >= limits.SendUntil:
-		done = l.calls.Out() == 0 && l.directory.Owed() == 0 && l.answered == 0
-	case left >= limits.Linger:
+	case sinceShutdown >= ownLimits.SendUntil:
+		done = l.calls.Out() == 0 && l.directory.Owed() == 0 && l.awaitingConfirmation == 0
+	case sinceShutdown >= ownLimits.Linger:
 		done = len(l.notices) == 0 && l.directory.Owed() == 0
 	}
 	return next, done
 }
 
-// at sets the time for what comes next.
-func (l *Loop) at(now time.Time) {
+// setTime sets the current time of the loop and of its parts.
+func (l *Loop) setTime(now time.Time) {
 	l.now = now
 	l.intake.At(now)
 	l.calls.At(now)
 	l.directory.At(now)
 }
 
-// recallAll takes back the calls whose connections have come up when no trip may begin any more.
+// recallAll recalls the calls whose connections have been established now that no trip may begin any more.
 func (l *Loop) recallAll() {
 	for _, e := range l.events {
-		if up, is := e.(rules.ConnectionUp); is {
+		if up, ok := e.(rules.ConnectionUp); ok {
 			l.calls.Recall(up.Notice)
 		}
 	}
 }
 
-// next is when something is due that no socket tells.
-func (l *Loop) next() time.Time {
-	next := l.sweepAt
+// nextDue returns the time at which the next timeout or timer is due, or the current time if work is waiting.
+func (l *Loop) nextDue() time.Time {
+	next := l.nextSweep
 	due := append([]time.Time{l.calls.Expire(), l.directory.Step()}, l.timers...)
 	if len(l.events) > 0 || l.calls.Waiting() {
 		return l.now
@@ -291,12 +305,12 @@
 	return next
 }
 
-// gather turns what the sockets brought into events.
-func (l *Loop) gather() {
-	l.tellRestored()
+// collectEvents turns what the connections and the receiver list have reported into events.
+func (l *Loop) collectEvents() {
+	l.reportRestored()
 	lists, failed := l.directory.Lists()
-	for _, told := range lists {
-		l.events = append(l.events, told)
+	for _, list := range lists {
+		l.events = append(l.events, list)
 	}
 	for _, receiver := range l.receivers.Gone() {
 		l.calls.Forget(receiver)
@@ -310,71 +324,72 @@
 		l.events = append(l.events, rules.ListFailed{})
 	}
 	for _, e := range l.calls.Ended() {
-		l.book(e)
+		l.recordOutcome(e)
 		l.events = append(l.events, e)
 	}
-	l.gatherConfirmations()
-	for _, told := range l.calls.Waits() {
+	l.collectConfirmations()
+	for _, wait := range l.calls.Waits() {
 		if l.tracing {
-			l.log.Debug(logs.WaitTold, "receiver", told.Receiver, "wait", span(told.Wait))
+			l.log.Debug(logs.WaitTold, "receiver", wait.Receiver, "wait", toDuration(wait.Wait))
 		}
-		l.events = append(l.events, told)
+		l.events = append(l.events, wait)
 	}
 	for _, up := range l.calls.Up() {
 		l.events = append(l.events, up)
 	}
-	due := len(l.timers)
+	timersBefore := len(l.timers)
 	l.timers = slices.DeleteFunc(l.timers, func(at time.Time) bool { return !at.After(l.now) })
-	if len(l.timers) < due {
+	if len(l.timers) < timersBefore {
 		l.events = append(l.events, rules.TimerDue{})
 	}
 }
 
-// keep reports what the ledger could not keep.
-func (l *Loop) keep(err error) {
+// logLedgerError logs an error of the ledger.
+func (l *Loop) logLedgerError(err error) {
 	if err != nil {
 		l.log.Error(logs.LedgerFailed, "why", err)
 	}
 }
 
-func (l *Loop) carryOut(action rules.Action) {
+// execute carries out one action of the decisions.
+func (l *Loop) execute(action rules.Action) {
 	switch a := action.(type) {
 	case rules.Send:
 		n := l.notices[a.Notice]
-		if n == nil { // its client was turned away just now, as the ledger is full
+		if n == nil { // it was rejected in this turn because the ledger could not record it
 			l.events = append(l.events,
 				rules.TripEnded{Notice: a.Notice, Receiver: a.Receiver, Result: rules.Moot, Over: true})
 			return
 		}
-		n.out = true
+		n.inFlight = true
 		l.counters.Trips++
 		if n.trips++; n.trips > 1 {
-			l.counters.Further++
+			l.counters.FurtherTrips++
 		}
 		if l.tracing {
 			l.log.Debug(logs.Trip, "id", n.id, "notice", a.Notice, "receiver", a.Receiver,
-				"address", l.receivers.Addresses[a.Receiver], "time_out", span(a.TimeOut))
+				"address", l.receivers.Addresses[a.Receiver], "time_out", toDuration(a.TimeOut))
 		}
 		l.calls.Send(&calls.Call{Notice: a.Notice, Trip: n.trips, Receiver: a.Receiver, Destination: n.destination,
 			Address: l.receivers.Addresses[a.Receiver], Zone: l.receivers.Zones[a.Receiver],
-			ID: n.id, Mark: n.mark, Body: n.body, TimeOut: span(a.TimeOut)})
+			ID: n.id, Mark: n.mark, Body: n.body, TimeOut: toDuration(a.TimeOut)})
 	case rules.Write:
 		l.calls.Write(a.Notice)
 	case rules.Recall:
 		l.calls.Recall(a.Notice)
 	case rules.Dismiss:
 		if a.ForRoom {
-			l.counters.ForRoom++
+			l.counters.DismissedForCapacity++
 		}
-		l.end(a.Notice, directory.HandedBack, a.RetryAfter)
+		l.endNotice(a.Notice, directory.HandedBack, a.RetryAfter)
 	case rules.BreakOff:
-		l.end(a.Notice, directory.GivenUp, 0)
+		l.endNotice(a.Notice, directory.GivenUp, 0)
 	case rules.CallOff:
 		l.calls.CallOff(a.Notice)
 	case rules.LetGo:
 		l.calls.LetGo(a.Receiver)
 	case rules.SetTimer:
-		l.timers = append(l.timers, l.now.Add(span(a.After)))
+		l.timers = append(l.timers, l.now.Add(toDuration(a.After)))
 	case rules.WatchList:
 		l.directory.Watch()
 	case rules.Turned:
@@ -382,14 +397,16 @@
 	}
 }
 
-func (l *Loop) counted() Counters {
+// currentCounters returns the counters, completed with those that the parts of the sender keep.
+func (l *Loop) currentCounters() Counters {
 	c := l.counters
 	c.Refusals = l.intake.Refused
-	c.NoRoom = c.NoHold + c.NoBytes + c.NoDisk
-	c.Out, c.Held = l.calls.Out(), len(l.notices)-l.answered
-	c.Refused = c.Unreadable + c.Unknown + c.Malformed + c.Late + c.Leaving + c.Repeated + c.NoRoom
-	c.BrokenAnswers, c.Unheard = l.directory.Broken, l.net.Unheard()
+	c.OverCapacity = c.OverHoldLimit + c.OverBodyMemory + c.OverLedgerCapacity
+	c.CallsInFlight, c.NoticesHeld = l.calls.Out(), len(l.notices)-l.awaitingConfirmation
+	c.Rejected = c.Unreadable + c.Unknown + c.Malformed + c.Late + c.Leaving + c.RepeatedIDs + c.OverCapacity
+	c.MalformedPlatformResponses, c.UnreadBuffers = l.directory.Broken, l.net.Unheard()
 	c.Connections = l.calls.Made()
-	c.Spoilt, c.Beyond, c.Stale, c.Unasked = l.calls.Spoilt, l.calls.Beyond, l.calls.Stale, l.calls.Unasked
+	c.UnusableResponses, c.TrailingBytes, c.StaleConnections, c.Unsolicited =
+		l.calls.Spoilt, l.calls.Beyond, l.calls.Stale, l.calls.Unasked
 	return c
 }
--- a/internal/loop/outcomes.go
+++ b/internal/loop/outcomes.go
@@ -11,15 +11,17 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// What trips come to, and the ends of notices, in the ledger and at the platform.
+// This file records the results of trips and the final outcomes of notices in the ledger, and reports the latter to
+// the platform.
 
-// book writes a trip's outcome into the ledger.
-func (l *Loop) book(e rules.TripEnded) {
+// recordOutcome counts a trip's result and records in the ledger what it means for the notice. A delivery that may
+// have come after the client timeout still needs a final outcome.
+func (l *Loop) recordOutcome(e rules.TripEnded) {
 	n := l.notices[e.Notice]
-	n.out = false
+	n.inFlight = false
 	if l.tracing {
 		l.log.Debug(logs.Outcome, "id", n.id, "notice", e.Notice, "receiver", e.Receiver, "result", e.Result,
-			"spent", span(e.Spent), "wait", span(e.Wait))
+			"spent", toDuration(e.Spent), "wait", toDuration(e.Wait))
 	}
 	switch e.Result {
 	case rules.Handled:
@@ -29,90 +31,93 @@
 	case rules.Errored:
 		l.counters.Errored++
 	case rules.NotConnected:
-		l.counters.Unmet++
+		l.counters.NotConnected++
 	case rules.Moot:
-		l.counters.Unsent++
+		l.counters.NotSent++
 	case rules.Short:
-		l.counters.Short++
-		l.uncount(n)
+		l.counters.LocalShortages++
+		l.uncountTrip(n)
 	case rules.Recalled:
 		l.counters.Recalled++
-		l.uncount(n)
+		l.uncountTrip(n)
 	case rules.Ambiguous:
 		l.counters.Ambiguous++
 	default:
 		l.counters.Lost++
 	}
-	recorded := n.recorded
-	n.recorded = false
+	tripRecorded := n.tripRecorded
+	n.tripRecorded = false
 	switch {
-	case e.Result == rules.Handled && !n.over && l.sender.AnswerMayBeLate(e.Notice, millis(l.now.Sub(l.started))):
+	case e.Result == rules.Handled && !n.ended && l.sender.AnswerMayBeLate(e.Notice, toMillis(l.now.Sub(l.started))):
 		l.counters.HandledLate++
-		l.end(e.Notice, directory.GivenUp, 0)
+		l.endNotice(e.Notice, directory.GivenUp, 0)
 		return
 	case e.Over:
-		n.over = true
-		l.settleOutcome(e, n)
-	case recorded && unrun(e.Result):
-		l.settleOutcome(e, n)
+		n.ended = true
+		l.writeOutcomeOnceConfirmed(e, n)
+	case tripRecorded && didNotRun(e.Result):
+		l.writeOutcomeOnceConfirmed(e, n)
 	}
 	l.release(e.Notice, n)
 }
 
-// unrun tells an outcome of which the trip has not run.
-func unrun(r rules.Result) bool {
+// didNotRun reports whether a result proves that the trip had no effect at the receiver.
+func didNotRun(r rules.Result) bool {
 	return r == rules.Full || r == rules.NotConnected || r == rules.Moot || r == rules.Short || r == rules.Recalled
 }
 
-// confirmTime is how long behind an answer of a receiver the true one would have come, if that was another call's.
+// confirmTime returns how long after a response of a receiver the correct one would still arrive, if that response
+// belonged to another call.
 func (l *Loop) confirmTime(receiver rules.ReceiverID) time.Duration {
-	return span(l.sender.ConfirmTime(receiver))
+	return toDuration(l.sender.ConfirmTime(receiver))
 }
 
-// waitsToSettle tells whether a call waits for a connection that still settles rather than for a new one.
+// waitsToSettle reports whether a call waits for a connection that is still settling, rather than opening a new
+// one.
 func (l *Loop) waitsToSettle(receiver rules.ReceiverID, left, comesUp time.Duration) bool {
-	return l.sender.WaitsToSettle(receiver, millis(left), millis(comesUp))
+	return l.sender.WaitsToSettle(receiver, toMillis(left), toMillis(comesUp))
 }
 
-// settleOutcome writes into the ledger that a notice is over or that its last trip has not run; of an unconfirmed outcome only
-// once that is confirmed.
-func (l *Loop) settleOutcome(e rules.TripEnded, n *held) {
+// writeOutcomeOnceConfirmed records in the ledger that a notice is ended or that its last trip has not run. An
+// unconfirmed outcome is recorded only when it is confirmed; until then an ended notice is held without its body.
+func (l *Loop) writeOutcomeOnceConfirmed(e rules.TripEnded, n *heldNotice) {
 	if !e.Unconfirmed {
 		l.writeOutcome(e.Notice, n)
 		return
 	}
 	n.unconfirmed = true
-	if n.over {
-		l.answered++
+	if n.ended {
+		l.awaitingConfirmation++
 		l.heldBytes -= n.body.Held()
 		n.body.Free()
 		n.body = nil
 	}
 }
 
-func (l *Loop) writeOutcome(number rules.NoticeID, n *held) {
-	if n.over {
-		l.keep(l.ledger.Closed(number))
+// writeOutcome records in the ledger that a notice is ended, or else that its last trip has not run.
+func (l *Loop) writeOutcome(number rules.NoticeID, n *heldNotice) {
+	if n.ended {
+		l.logLedgerError(l.ledger.Closed(number))
 	} else {
-		l.keep(l.ledger.Unrun(number))
+		l.logLedgerError(l.ledger.Unrun(number))
 	}
 }
 
-// gatherConfirmations takes what has become of outcomes that were told before they were sure.
-func (l *Loop) gatherConfirmations() {
+// collectConfirmations processes the confirmations and retractions of outcomes that were reported unconfirmed.
+func (l *Loop) collectConfirmations() {
 	for _, c := range l.calls.Confirmed() {
-		l.confirmed(c)
+		l.applyConfirmation(c)
 	}
 	for _, d := range l.calls.Doubts() {
-		l.doubt(d)
+		l.retractOutcome(d)
 	}
 	for _, receiver := range l.calls.Surplus() {
 		l.events = append(l.events, rules.SurplusHeard{Receiver: receiver})
 	}
 }
 
-// confirmed lets the unconfirmed outcome of a trip hold, unless the notice has made another trip since.
-func (l *Loop) confirmed(c calls.Confirmation) {
+// applyConfirmation confirms the outcome of a trip, unless the notice has made another trip since.
+func (l *Loop) applyConfirmation(c calls.Confirmation) {
 	n := l.notices[c.Notice]
 	if n != nil && n.trips != c.Trip {
 		return
@@ -124,76 +129,80 @@
 	l.events = append(l.events, rules.OutcomeConfirmed{Notice: c.Notice})
 }
 
-// confirmOutcome lets an unconfirmed outcome hold.
-func (l *Loop) confirmOutcome(number rules.NoticeID, n *held) {
+// confirmOutcome marks a notice's unconfirmed outcome as confirmed and records it in the ledger.
+func (l *Loop) confirmOutcome(number rules.NoticeID, n *heldNotice) {
 	n.unconfirmed = false
-	if n.over {
-		l.answered--
+	if n.ended {
+		l.awaitingConfirmation--
 	}
 	l.writeOutcome(number, n)
 }
 
-// doubt takes an outcome back: neither that the notice was delivered nor that it never ran holds. One that is over gets an end at the
-// platform, which does no harm where it was delivered.
-func (l *Loop) doubt(d calls.Doubt) {
+// retractOutcome retracts a trip's outcome: it is no longer known whether the notice was delivered or the trip
+// never ran. A notice that had ended is reported to the platform as given up, which does no harm if it was
+// delivered.
+func (l *Loop) retractOutcome(d calls.Doubt) {
 	n := l.notices[d.Notice]
-	l.counters.Doubted++
-	l.log.Warn(logs.Doubted, "id", d.ID, "notice", d.Notice, "receiver", d.Receiver, "written_ago", l.now.Sub(d.Written),
-		"held", n != nil && !n.over)
-	l.events = append(l.events, rules.OutcomeDoubted{Notice: d.Notice, Receiver: d.Receiver, SentAgo: millis(l.now.Sub(d.Written))})
+	l.counters.Retracted++
+	l.log.Warn(logs.Doubted, "id", d.ID, "notice", d.Notice, "receiver", d.Receiver,
+		"written_ago", l.now.Sub(d.Written), "held", n != nil && !n.ended)
+	l.events = append(l.events, rules.OutcomeDoubted{Notice: d.Notice, Receiver: d.Receiver,
+		SentAgo: toMillis(l.now.Sub(d.Written))})
 	switch {
-	case n == nil && l.ended.has(d.ID):
+	case n == nil && l.endedIDs.has(d.ID):
 	case n == nil:
-		l.ended.add(d.ID, l.now)
+		l.endedIDs.add(d.ID, l.now)
 		l.counters.GivenUp++
 		l.directory.Ended(directory.End{Notice: d.Notice, Message: d.ID, Outcome: directory.GivenUp})
-	case !n.over:
+	case !n.ended:
 		n.unconfirmed = false
 	case n.unconfirmed:
-		l.answered--
-		l.end(d.Notice, directory.GivenUp, 0)
+		l.awaitingConfirmation--
+		l.endNotice(d.Notice, directory.GivenUp, 0)
 	}
 }
 
-// uncount takes back a trip that has not left.
-func (l *Loop) uncount(n *held) {
+// uncountTrip undoes the counting of a trip that was not sent.
+func (l *Loop) uncountTrip(n *heldNotice) {
 	if n.trips > 1 {
-		l.counters.Further--
+		l.counters.FurtherTrips--
 	}
 	n.trips--
 }
 
-// record writes a trip into the ledger, just before its call is written.
-func (l *Loop) record(c *calls.Call) error {
-	if left := l.sender.WaitLeft(c.Receiver, millis(l.now.Sub(l.started))); left > 0 {
-		l.counters.InWait++
-		l.log.Warn(logs.WrittenInWait, "id", c.ID, "notice", c.Notice, "receiver", c.Receiver, "begun_ago", l.now.Sub(c.Begun),
-			"left", span(left))
+// recordTrip records a trip in the ledger, just before its call is written. On an error the call must not be
+// written.
+func (l *Loop) recordTrip(c *calls.Call) error {
+	if left := l.sender.WaitLeft(c.Receiver, toMillis(l.now.Sub(l.started))); left > 0 {
+		l.counters.WrittenDuringWait++
+		l.log.Warn(logs.WrittenInWait, "id", c.ID, "notice", c.Notice, "receiver", c.Receiver,
+			"begun_ago", l.now.Sub(c.Begun), "left", toDuration(left))
 	}
 	zone := settings.Name(l.config.Names.Zones, int(c.Zone))
 	n := l.notices[c.Notice]
-	if n.unconfirmed { // its last trip, which may run again
+	if n.unconfirmed { // the notice makes another trip, so the outcome of its last one stands
 		l.confirmOutcome(c.Notice, n)
 	}
-	// By the wall clock as it was when the notice was taken, like its other times.
-	at := l.now.Add(-n.takenAt.Stepped(l.clock.Now()))
+	// By the wall clock as it stood when the notice was accepted, like the notice's other times.
+	at := l.now.Add(-n.acceptedAt.Stepped(l.clock.Now()))
 	err := l.ledger.Trip(c.Notice, ledger.Trip{At: at, Zone: zone})
-	l.keep(err)
-	n.recorded = err == nil
+	l.logLedgerError(err)
+	n.tripRecorded = err == nil
 	return err
 }
 
-// release lets go of a notice that is over and not out.
-func (l *Loop) release(number rules.NoticeID, n *held) {
-	if n.over && !n.out && !n.unconfirmed {
+// release frees a notice that is ended, has no trip in flight and no unconfirmed outcome.
+func (l *Loop) release(number rules.NoticeID, n *heldNotice) {
+	if n.ended && !n.inFlight && !n.unconfirmed {
 		l.heldBytes -= n.body.Held()
 		n.body.Free()
 		delete(l.notices, number)
 	}
 }
 
-// end gives a notice its end: to its client in the notice's own turn, else to the platform.
-func (l *Loop) end(number rules.NoticeID, outcome string, retryAfter rules.Millis) {
+// endNotice ends a notice. Its final outcome is recorded and reported to the platform, unless its client is still
+// waiting for the answer to its submission: in that case admit answers the client in the same turn.
+func (l *Loop) endNotice(number rules.NoticeID, outcome string, retryAfter rules.Millis) {
 	n := l.notices[number]
 	if n.request == nil {
 		if outcome == directory.GivenUp {
@@ -204,11 +213,11 @@
 		if l.tracing {
 			l.log.Debug(logs.Ended, "id", n.id, "notice", number, "outcome", outcome, "retry_in_ms", float64(retryAfter))
 		}
-		l.ended.add(n.id, l.now)
-		l.keep(l.ledger.Ended(number, outcome, float64(retryAfter)))
+		l.endedIDs.add(n.id, l.now)
+		l.logLedgerError(l.ledger.Ended(number, outcome, float64(retryAfter)))
 		l.directory.Ended(directory.End{Notice: number, Message: n.id, Outcome: outcome, RetryInMS: float64(retryAfter)})
 	}
-	n.unconfirmed = false // whatever its last trip came to, it has its end
-	n.over = true
+	n.unconfirmed = false // the final outcome stands, whatever the result of the last trip
+	n.ended = true
 	l.release(number, n)
 }
--- a/internal/loop/outcomes_test.go
+++ b/internal/loop/outcomes_test.go
@@ -7,10 +7,11 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
+// Guards against a late confirmation of a notice's earlier trip that confirms the outcome of its current one.
 func TestConfirmationOfAnEarlierTripConfirmsNoLaterOne(t *testing.T) {
-	n := &held{over: true, unconfirmed: true, trips: 2}
-	l := &Loop{notices: map[rules.NoticeID]*held{1: n}}
-	l.confirmed(calls.Confirmation{Notice: 1, Trip: 1})
+	n := &heldNotice{ended: true, unconfirmed: true, trips: 2}
+	l := &Loop{notices: map[rules.NoticeID]*heldNotice{1: n}}
+	l.applyConfirmation(calls.Confirmation{Notice: 1, Trip: 1})
 	if !n.unconfirmed || len(l.events) > 0 {
 		t.Errorf("unconfirmed %v, events %v", n.unconfirmed, l.events)
 	}
--- a/internal/loop/pace_test.go
+++ b/internal/loop/pace_test.go
@@ -9,27 +9,28 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestPace(t *testing.T) {
+// Guards against delays in an idle sender and against a busy one that runs a turn for each event.
+func TestPacer(t *testing.T) {
 	var b strings.Builder
-	p := pace{most: 2500 * time.Microsecond, cores: 0.5}
+	p := pacer{maxSpacing: 2500 * time.Microsecond, cores: 0.5}
 	now, used := time.Unix(0, 0), time.Duration(0)
-	run := func(what string, share float64, looks int) {
-		for range looks {
-			now, used = now.Add(lookEvery), used+time.Duration(share*float64(lookEvery))
-			if p.due(now) {
-				p.look(now, used)
+	run := func(load string, share float64, samples int) {
+		for range samples {
+			now, used = now.Add(sampleInterval), used+time.Duration(share*float64(sampleInterval))
+			if p.sampleDue(now) {
+				p.sample(now, used)
 			}
 		}
-		fmt.Fprintf(&b, "%s: share %.2f, spacing %v\n", what, p.share, p.spacing().Round(10*time.Microsecond))
+		fmt.Fprintf(&b, "%s: share %.2f, spacing %v\n", load, p.smoothedShare, p.spacing().Round(10*time.Microsecond))
 	}
 	run("idle", 0.02, 20)
 	run("a tenth of a core", 0.1, 20)
 	run("a fifth", 0.2, 20)
 	run("all that is granted", 0.5, 20)
 	now, used = now.Add(2*time.Second), used+time.Millisecond
-	p.look(now, used)
+	p.sample(now, used)
 	fmt.Fprintf(&b, "after two quiet seconds: spacing %v\n", p.spacing())
-	p.look(now.Add(-time.Hour), used)
+	p.sample(now.Add(-time.Hour), used)
 	fmt.Fprintf(&b, "the clock stepped back: spacing %v\n", p.spacing())
 	want := `idle: share 0.04, spacing 0s
 a tenth of a core: share 0.20, spacing 0s
--- a/internal/loop/recent.go
+++ b/internal/loop/recent.go
@@ -2,22 +2,25 @@
 
 import "time"
 
-// recent remembers the ids of notices for one to two spans, in two sets that take turns.
-type recent struct {
-	span        time.Duration
-	turnAt      time.Time
-	now, before map[string]struct{}
+// recentIDs remembers the ids of notices for one to two retention times, in two sets: at each rotation the current
+// set becomes the previous one, and the previous one is dropped.
+type recentIDs struct {
+	retention         time.Duration
+	rotateAt          time.Time
+	current, previous map[string]struct{}
 }
 
-func (r *recent) has(id string) bool {
-	_, now := r.now[id]
-	_, before := r.before[id]
-	return now || before
+// has reports whether an id is remembered.
+func (r *recentIDs) has(id string) bool {
+	_, inCurrent := r.current[id]
+	_, inPrevious := r.previous[id]
+	return inCurrent || inPrevious
 }
 
-func (r *recent) add(id string, at time.Time) {
-	if !at.Before(r.turnAt) {
-		r.now, r.before, r.turnAt = map[string]struct{}{}, r.now, at.Add(r.span)
+// add remembers an id from now on.
+func (r *recentIDs) add(id string, at time.Time) {
+	if !at.Before(r.rotateAt) {
+		r.current, r.previous, r.rotateAt = map[string]struct{}{}, r.current, at.Add(r.retention)
 	}
-	r.now[id] = struct{}{}
+	r.current[id] = struct{}{}
 }
--- a/internal/loop/restore.go
+++ b/internal/loop/restore.go
@@ -8,13 +8,14 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// What an earlier process owed, from the ledger back to the decisions.
+// This file restores the pending notices that an earlier process left in the ledger.
 
-// restore takes a notice back that an earlier process owed; its end goes to the platform if it has one.
+// restore restores a pending notice of an earlier process. If the notice already has a final outcome, that is
+// reported to the platform; otherwise its delivery continues.
 func (l *Loop) restore(n ledger.Notice) {
 	l.counters.Restored++
-	l.ids.add(n.ID, l.now)
-	l.last = max(l.last, n.Number)
+	l.acceptedIDs.add(n.ID, l.now)
+	l.lastNumber = max(l.lastNumber, n.Number)
 	if n.Ended != "" {
 		l.directory.Ended(directory.End{Notice: n.Number, Message: n.ID, Outcome: n.Ended, RetryInMS: n.RetryMS})
 		return
@@ -23,13 +24,14 @@
 	body.Add(n.Body)
 	n.Body = nil
 	l.heldBytes += body.Held()
-	l.notices[n.Number] = &held{id: n.ID, mark: n.Mark, destination: n.Destination, takenAt: n.TakenAt, body: body, trips: n.Trips}
+	l.notices[n.Number] = &heldNotice{id: n.ID, mark: n.Mark, destination: n.Destination, acceptedAt: n.TakenAt,
+		body: body, trips: n.Trips}
 	l.restored = append(l.restored, n)
 }
 
-// tellRestored tells the decisions of the notices that an earlier process owed. The spans that it tells count from the time
-// of the turn, by which the decisions count them, too.
-func (l *Loop) tellRestored() {
+// reportRestored passes the restored notices to the decisions. The durations in its events are relative to the time
+// of the turn, which is also the decisions' reference.
+func (l *Loop) reportRestored() {
 	if len(l.restored) == 0 {
 		return
 	}
@@ -38,19 +40,21 @@
 		if stepped := n.Adjust(now); stepped != 0 {
 			l.log.Warn(logs.ClockStepped, "notice", n.Number, "stepped", stepped)
 		}
-		taken := rules.NoticeTaken{Notice: n.Number, Grade: rules.GradeID(settings.Index(l.config.Names.Grades, n.Grade)),
+		event := rules.NoticeTaken{Notice: n.Number,
+			Grade:     rules.GradeID(settings.Index(l.config.Names.Grades, n.Grade)),
 			Portfolio: rules.PortfolioID(settings.Index(l.config.Names.Portfolios, n.Portfolio)), Key: n.Key,
-			Destination: n.Destination, Left: millis(n.Until.Sub(l.now)), Waited: rules.Millis(n.WaitedMS), Inherited: n.Inherited,
-			Trips: n.Trips, Ran: len(n.Ran), Room: l.room(l.notices[n.Number].body)}
+			Destination: n.Destination, Left: toMillis(n.Until.Sub(l.now)), Waited: rules.Millis(n.WaitedMS),
+			Inherited: n.Inherited,
+			Trips:     n.Trips, Ran: len(n.Ran), Room: l.capacityShare(l.notices[n.Number].body)}
 		if len(n.Ran) > 0 {
-			taken.RanAgo = millis(l.now.Sub(n.Ran[0].At))
-			taken.RanZone = rules.ZoneID(settings.Index(l.config.Names.Zones, n.Ran[0].Zone))
+			event.RanAgo = toMillis(l.now.Sub(n.Ran[0].At))
+			event.RanZone = rules.ZoneID(settings.Index(l.config.Names.Zones, n.Ran[0].Zone))
 		}
 		if l.tracing {
 			l.log.Debug(logs.Restored, "id", n.ID, "notice", n.Number, "trips", n.Trips, "may_have_run", len(n.Ran),
-				"left", span(taken.Left))
+				"left", toDuration(event.Left))
 		}
-		l.events = append(l.events, taken)
+		l.events = append(l.events, event)
 	}
 	l.restored = nil
 }
