--- a/internal/loop/pace_test.go
+++ b/internal/loop/pace_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against delays in an idle sender and against a busy one that runs a turn for each event.
-func TestPacer(t *testing.T) {
+func TestPace(t *testing.T) {
 	var b strings.Builder
 	p := pacer{maxSpacing: 2500 * time.Microsecond, cores: 0.5}
 	now, used := time.Unix(0, 0), time.Duration(0)
