--- a/internal/intake/clients.go
+++ b/internal/intake/clients.go
@@ -8,224 +8,235 @@
 	"chuteweir.example/chuteweir/internal/sockets"
 )
 
-// The connections of clients, from their opening to their end.
-
-// client is one connection. A client may send requests before it has the answers to earlier ones: they are served together, and
-// answered in their order. No more is read before all that was read has its answer; it waits in the kernel.
-type client struct {
-	conn      *sockets.Conn
-	parser    *http1.Parser
-	answers   []*answer // owed, in the order of their requests
-	born      time.Time
-	since     time.Time // of the last change
-	behind    time.Time // from when on bytes may lie unread in the kernel; zero: none do
-	window    int       // bytes that were asked for and have not come
-	served    bool      // it has had an answer
-	continues bool      // it waits to be told to send its request's body
-	deaf      bool      // nothing more that comes is taken as a request
-	discards  bool      // what comes is read all the same, and passed over
-	full      bool      // nothing more is read: it has asked too much that is refused
-	floods    bool      // it asks for pages on and on
-	refused   int       // requests
-	closing   bool      // the last answer is written
-	passed    int       // bytes passed over
-	pages     int       // asked for in this turn
-	pagesAt   time.Time
-}
-
-// ending is whether a connection ends with an answer.
-type ending uint8
+// This file handles client connections from opening to close.
+
+// clientConn is one connection from a client. A client may pipeline requests: they are served concurrently and
+// answered in the order in which they were sent. No more input is read until every request already read has its
+// response; until then further input stays in the kernel's receive buffer.
+type clientConn struct {
+	conn            *sockets.Conn
+	parser          *http1.Parser
+	responses       []*response // not written yet, in request order
+	openedAt        time.Time
+	lastActivity    time.Time // when a request last began or a response was last written
+	unreadSince     time.Time // since when unread bytes may be in the kernel; zero: there are none
+	readWindow      int       // bytes that may still be read before the next Resume
+	served          bool      // at least one response was sent
+	awaitsContinue  bool      // the client waits for "100 Continue" before it sends the request body
+	ignoresInput    bool      // further input is not parsed as requests
+	discardsInput   bool      // further input is still read, and discarded
+	readStopped     bool      // no more input is read, because the client sent too many refused requests
+	flooding        bool      // the client keeps requesting pages faster than it can be reading them
+	refusedRequests int
+	closing         bool // the last response is written
+	discardedBytes  int
+	pageRequests    int       // page requests in the current turn of the sender's loop
+	pageTurn        time.Time // the turn that pageRequests counts
+}
+
+// closeMode says whether the connection closes after a response.
+type closeMode uint8
 
 const (
-	goesOn          ending = iota
-	closesWhenQuiet        // it ends, unless more was sent: that is answered first, but without end only what was read
-	closesAtOnce           // it ends, and what was sent behind is not taken as requests
+	keepOpen       closeMode = iota
+	closeWhenQuiet           // close, unless further requests have arrived: what has been read is answered first
+	closeAtOnce              // close; input that follows the request is not parsed as requests
 )
 
-// answer is what one request is owed.
-type answer struct {
-	settled bool
-	status  int
-	fields  []http1.Field
-	body    string
-	end     ending
+// response is the pending response to one request.
+type response struct {
+	complete  bool
+	status    int
+	fields    []http1.Field
+	body      string
+	closeMode closeMode
 }
 
-func (a *answer) settle(status int, end ending) {
-	a.settled, a.status, a.end = true, status, max(a.end, end)
+// finish sets the status, after which the response can be written. It never weakens a close mode that is already set.
+func (r *response) finish(status int, mode closeMode) {
+	r.complete, r.status, r.closeMode = true, status, max(r.closeMode, mode)
 }
 
-// expect adds an answer to those that a client is owed.
-func (in *Intake) expect(c *client) *answer {
-	a := &answer{}
-	c.answers = append(c.answers, a)
-	return a
+// enqueueResponse appends an incomplete response to those that the client waits for.
+func (in *Intake) enqueueResponse(client *clientConn) *response {
+	pending := &response{}
+	client.responses = append(client.responses, pending)
+	return pending
 }
 
-// flush writes the answers whose turn it is. Once none is owed, the client's connection is read on.
-func (in *Intake) flush(c *client) {
-	out := in.out[:0]
-	for len(c.answers) > 0 && c.answers[0].settled && !c.closing {
-		a := c.answers[0]
-		c.answers = slices.Delete(c.answers, 0, 1) // which keeps its room
-		c.closing = a.end == closesAtOnce || (a.end == closesWhenQuiet || c.full) && in.nothingBehind(c)
-		out = http1.AppendAnswer(out, a.status, a.fields, a.body, c.closing)
+// flush writes the complete responses at the head of the queue. Once the queue is empty, reading from the client
+// resumes.
+func (in *Intake) flush(client *clientConn) {
+	out := in.writeBuffer[:0]
+	for len(client.responses) > 0 && client.responses[0].complete && !client.closing {
+		next := client.responses[0]
+		client.responses = slices.Delete(client.responses, 0, 1) // keeps the slice's capacity
+		client.closing = next.closeMode == closeAtOnce ||
+			(next.closeMode == closeWhenQuiet || client.readStopped) && in.allInputAnswered(client)
+		out = http1.AppendAnswer(out, next.status, next.fields, next.body, client.closing)
 	}
-	in.out = out
+	in.writeBuffer = out
 	if len(out) > 0 {
-		c.served, c.since = true, in.now
+		client.served, client.lastActivity = true, in.now
 	}
-	if c.continues && len(c.answers) == 0 {
-		c.continues = false
+	if client.awaitsContinue && len(client.responses) == 0 {
+		client.awaitsContinue = false
 		out = append(out, http1.Continue...)
 	}
-	if len(out) > 0 && c.conn.Write(out) != nil {
-		in.drop(c)
+	if len(out) > 0 && client.conn.Write(out) != nil {
+		in.closeClient(client)
 		return
 	}
 	switch {
-	case c.closing:
-		in.finish(c)
-	case len(c.answers) == 0 && !c.conn.Queued():
-		in.readOn(c)
+	case client.closing:
+		in.closeWriteSide(client)
+	case len(client.responses) == 0 && !client.conn.Queued():
+		in.resumeReading(client)
 	}
 }
 
-// readOn lets more be read of a client: what is known to be missing of its request, but at least a buffer.
-func (in *Intake) readOn(c *client) {
-	if !c.behind.IsZero() && c.conn.Quiet() {
-		c.behind = time.Time{}
+// resumeReading allows more input to be read from a client: the number of bytes known to be missing from its
+// request, but at least one read window.
+func (in *Intake) resumeReading(client *clientConn) {
+	if !client.unreadSince.IsZero() && client.conn.Quiet() {
+		client.unreadSince = time.Time{}
 	}
-	c.window = max(in.limits.Window, c.parser.Missing())
-	c.conn.Resume(c.window)
+	client.readWindow = max(in.limits.Window, client.parser.Missing())
+	client.conn.Resume(client.readWindow)
 }
 
-// nothingBehind tells whether nothing that is still to be answered has come of a client behind the answers that were settled.
-func (in *Intake) nothingBehind(c *client) bool {
-	if len(c.answers) > 0 || c.conn.Queued() {
+// allInputAnswered reports whether everything that has arrived from a client and that is still to be answered has its
+// response.
+func (in *Intake) allInputAnswered(client *clientConn) bool {
+	if len(client.responses) > 0 || client.conn.Queued() {
 		return false
 	}
-	return c.full || !c.parser.Begun() && c.conn.Quiet()
+	return client.readStopped || !client.parser.Begun() && client.conn.Quiet()
 }
 
-// refuse answers a request that is not taken.
-func (in *Intake) refuse(c *client, a *answer, status int) {
-	if c.refused++; c.refused >= in.limits.Refused {
-		c.full = true
+// refuse completes the response to a request that is not accepted.
+func (in *Intake) refuse(client *clientConn, pending *response, status int) {
+	if client.refusedRequests++; client.refusedRequests >= in.limits.Refused {
+		client.readStopped = true
 	}
-	a.settle(status, closesWhenQuiet)
+	pending.finish(status, closeWhenQuiet)
 }
 
-// finish ends the sending side behind the last answer, so that it is read; the rest follows when the client closes, or is swept.
-// What comes behind requests that were all answered stays in the kernel, so that the client knows that it was not read.
-func (in *Intake) finish(c *client) {
-	c.answers, c.deaf = nil, true
-	if c.floods && !c.conn.Quiet() {
-		in.drop(c)
+// closeWriteSide closes the sending side after the last response, so that the client can read that response. The
+// connection itself closes when the client closes it, or in Sweep. Input that follows the answered requests stays
+// in the kernel, so that closing the connection tells the client that it was not read.
+func (in *Intake) closeWriteSide(client *clientConn) {
+	client.responses, client.ignoresInput = nil, true
+	if client.flooding && !client.conn.Quiet() {
+		in.closeClient(client)
 		return
 	}
-	c.conn.CloseWrite()
-	if c.discards {
-		c.conn.Resume(in.limits.Buffer)
+	client.conn.CloseWrite()
+	if client.discardsInput {
+		client.conn.Resume(in.limits.Buffer)
 	} else {
-		c.conn.Resume(0)
+		client.conn.Resume(0)
 	}
 }
 
-// giveUp answers a request that can't be read to its end. Where the next one begins is not known: what comes from now on is
-// passed over, so that the client can write all and then reads its answer.
-func (in *Intake) giveUp(c *client, status int) {
-	c.parser.Free()
-	delete(in.begun, c)
-	c.deaf, c.discards = true, true
-	in.expect(c).settle(status, closesAtOnce)
+// abandonRequest answers a request that can't be read to its end. The start of the next request is then unknown, so
+// all further input is discarded; it is still read, so that the client can finish writing and then read its
+// response.
+func (in *Intake) abandonRequest(client *clientConn, status int) {
+	client.parser.Free()
+	delete(in.partial, client)
+	client.ignoresInput, client.discardsInput = true, true
+	in.enqueueResponse(client).finish(status, closeAtOnce)
 }
 
-// discard passes over bytes, but not without end.
-func (in *Intake) discard(c *client, count int) {
-	if c.passed += count; c.passed > in.limits.Discard {
+// discard counts discarded input, and closes the connection at the limit.
+func (in *Intake) discard(client *clientConn, count int) {
+	if client.discardedBytes += count; client.discardedBytes > in.limits.Discard {
 		in.Refused.Flooding++
-		in.drop(c)
-	} else if c.closing && c.discards {
-		c.conn.Resume(in.limits.Buffer)
+		in.closeClient(client)
+	} else if client.closing && client.discardsInput {
+		client.conn.Resume(in.limits.Buffer)
 	}
 }
 
-func (in *Intake) drop(c *client) {
-	in.forget(c)
-	c.conn.Close()
+func (in *Intake) closeClient(client *clientConn) {
+	in.remove(client)
+	client.conn.Close()
 }
 
-// dropQuiet ends a connection unless something has come on it that was not read yet: that may be a request, which is owed
-// its answer once it has been read.
-func (in *Intake) dropQuiet(c *client) bool {
-	quiet := c.conn.CloseQuiet()
+// closeIfQuiet closes a connection unless unread input has arrived on it: that may be a request, which gets its
+// response once it has been read. It reports whether it closed the connection.
+func (in *Intake) closeIfQuiet(client *clientConn) bool {
+	quiet := client.conn.CloseQuiet()
 	if quiet {
-		in.forget(c)
+		in.remove(client)
 	}
 	return quiet
 }
 
-func (in *Intake) forget(c *client) {
-	c.parser.Free()
-	delete(in.clients, c.conn)
-	delete(in.begun, c)
+// remove frees the state of a connection that is closed.
+func (in *Intake) remove(client *clientConn) {
+	client.parser.Free()
+	delete(in.clients, client.conn)
+	delete(in.partial, client)
 }
 
-// Sweep ends what has taken too long. A request that was never complete gets an answer first.
+// Sweep closes the connections that have exceeded a time limit. A request that was not received completely gets a 408
+// response first.
 func (in *Intake) Sweep(now time.Time) {
-	for _, c := range in.clients {
-		idle := now.Sub(c.since)
+	for _, client := range in.clients {
+		idle := now.Sub(client.lastActivity)
 		switch {
-		case len(c.answers) > 0:
-		case !c.conn.Written():
-			if idle > in.limits.RequestTime { // it does not take its answers
+		case len(client.responses) > 0:
+		case !client.conn.Written():
+			if idle > in.limits.RequestTime { // the client does not read its responses
 				in.Refused.Flooding++
-				in.drop(c)
+				in.closeClient(client)
 			}
-		case c.closing:
+		case client.closing:
 			if idle > in.limits.Linger {
-				in.drop(c)
+				in.closeClient(client)
 			}
-		case c.parser.Begun():
-			if idle > in.limits.RequestTime || !c.served && now.Sub(c.born) > in.limits.FirstTime {
+		case client.parser.Begun():
+			if idle > in.limits.RequestTime || !client.served && now.Sub(client.openedAt) > in.limits.FirstTime {
 				in.Refused.Late++
-				in.giveUp(c, 408)
-				in.flush(c)
+				in.abandonRequest(client, 408)
+				in.flush(client)
 			}
-		case idle > in.limits.ClientIdle || in.Leaving && c.served:
-			if in.dropQuiet(c) && !c.served {
+		case idle > in.limits.ClientIdle || in.Leaving && client.served:
+			if in.closeIfQuiet(client) && !client.served {
 				in.Refused.Silent++
 			}
 		}
 	}
 }
 
-// MakeRoom guards against clients that hold connections or memory for nothing: while there is too much of either, those
-// without a whole request that have been quiet for longest go. A usual client's request comes right behind its
-// connection.
+// MakeRoom protects against clients that hold connections or memory without sending complete requests. While the
+// number of connections or the memory of partial requests is over its limit, it closes connections without a
+// complete request, those idle for longest first. Well-behaved clients are rarely affected: their request follows
+// directly after they connect.
 func (in *Intake) MakeRoom() {
-	over, held := len(in.clients)-in.limits.Crowd, -in.limits.Partial
-	if over <= 0 && len(in.begun) <= in.limits.Partial/(in.limits.Head+in.limits.Body+2*in.limits.Buffer) {
-		return // so few can't hold too much
+	excessClients, excessBytes := len(in.clients)-in.limits.Crowd, -in.limits.Partial
+	if excessClients <= 0 && len(in.partial) <= in.limits.Partial/(in.limits.Head+in.limits.Body+2*in.limits.Buffer) {
+		return // so few partial requests can't exceed the memory limit
 	}
-	for c := range in.begun {
-		held += c.parser.Held()
+	for client := range in.partial {
+		excessBytes += client.parser.Held()
 	}
-	if over <= 0 && held <= 0 {
+	if excessClients <= 0 && excessBytes <= 0 {
 		return
 	}
-	var quiet []*client
-	for _, c := range in.clients {
-		if len(c.answers) == 0 {
-			quiet = append(quiet, c)
+	var candidates []*clientConn
+	for _, client := range in.clients {
+		if len(client.responses) == 0 {
+			candidates = append(candidates, client)
 		}
 	}
-	slices.SortFunc(quiet, func(a, b *client) int { return a.since.Compare(b.since) })
-	for _, c := range quiet {
-		if mine := c.parser.Held(); (over > 0 || held > 0 && mine > 0) && in.dropQuiet(c) {
-			over--
-			held -= mine
+	slices.SortFunc(candidates, func(a, b *clientConn) int { return a.lastActivity.Compare(b.lastActivity) })
+	for _, client := range candidates {
+		if freed := client.parser.Held(); (excessClients > 0 || excessBytes > 0 && freed > 0) && in.closeIfQuiet(client) {
+			excessClients--
+			excessBytes -= freed
 			in.Refused.Crowded++
 		}
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,4 +1,4 @@
-// Package intake serves the clients: it reads the notices that they hand in and writes the answers.
+// Package intake serves client connections: it reads the notices that clients submit and writes the responses.
 package intake
 
 import (
@@ -17,252 +17,259 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Request is a notice handed in, waiting for Answer.
+// Request is a submitted notice whose client waits for Answer.
 type Request struct {
 	ID          string
-	Mark        string // by which a receiver knows a repeat, or empty
+	Mark        string // the idempotency key, by which a receiver recognizes a repeated notice, or empty
 	Grade       rules.GradeID
 	Portfolio   rules.PortfolioID
 	Key         rules.KeyID
 	Destination rules.DestinationID
-	Left        rules.Millis
-	Inherited   bool // a sender that died, or did not answer, had it
+	Left        rules.Millis // client timeout
+	Inherited   bool         // a resubmission, after another sender that had the notice died or did not answer
 	Body        *buffers.Chain
-	// Since is the earliest time at which a request can have come that lay unread behind others of its client; zero: it lay behind none.
-	Since  time.Time
-	client *client
-	answer *answer
+	// Since is the earliest time at which a request that waited unread in the kernel can have arrived, because
+	// earlier requests of its client were served first. Zero: it did not wait.
+	Since    time.Time
+	client   *clientConn
+	response *response
 }
 
-// Refusals counts requests and connections turned away without the module's having seen them, by what was wrong.
+// Refusals counts the requests and connections that intake refused by itself, without asking the decision module, by
+// reason.
 type Refusals struct {
-	Unreadable, Unknown, Malformed, Late, Leaving int // answered with an error
+	Unreadable, Unknown, Malformed, Late, Leaving int // answered with an error status
 	Silent, Crowded, Flooding                     int // closed
 }
 
-// Intake is all clients.
+// Intake holds the connections of all clients.
 type Intake struct {
-	limits  limits.Limits
-	pool    *buffers.Pool
-	names   settings.Names
-	known   func(rules.DestinationID) bool
-	pages   func() string
-	clients map[*sockets.Conn]*client
-	begun   map[*client]bool // those with a request that is not whole
-	taken   []*Request
-	now     time.Time
-	out     []byte
-	// Leaving makes every answer the last on its connection, and every notice refused.
+	limits           limits.Limits
+	pool             *buffers.Pool
+	names            settings.Names
+	knownDestination func(rules.DestinationID) bool
+	countersPage     func() string
+	clients          map[*sockets.Conn]*clientConn
+	partial          map[*clientConn]bool // the clients whose current request is incomplete
+	submitted        []*Request           // not yet returned by Take
+	now              time.Time
+	writeBuffer      []byte
+	// Leaving is set at shutdown: every response is then the last on its connection, and every notice is refused.
 	Leaving bool
 	Refused Refusals
 }
 
-// New makes an intake; known tells the destinations that exist, counters writes the page of counters.
-func New(l limits.Limits, pool *buffers.Pool, names settings.Names, known func(rules.DestinationID) bool,
+// New returns an Intake without clients. known reports whether a destination exists, and counters renders the page of
+// counters.
+func New(lim limits.Limits, pool *buffers.Pool, names settings.Names, known func(rules.DestinationID) bool,
 	counters func() string) *Intake {
-	return &Intake{limits: l, pool: pool, names: names, known: known, pages: counters,
-		clients: map[*sockets.Conn]*client{}, begun: map[*client]bool{}}
+	return &Intake{limits: lim, pool: pool, names: names, knownDestination: known, countersPage: counters,
+		clients: map[*sockets.Conn]*clientConn{}, partial: map[*clientConn]bool{}}
 }
 
-// Opened begins a client's connection.
+// Opened registers a new client connection.
 func (in *Intake) Opened(conn *sockets.Conn) {
-	in.clients[conn] = &client{conn: conn, born: in.now, since: in.now, window: in.limits.Window,
+	in.clients[conn] = &clientConn{conn: conn, openedAt: in.now, lastActivity: in.now, readWindow: in.limits.Window,
 		parser: http1.NewParser(in.pool, false, in.limits.Head, in.limits.Fields, in.limits.Body)}
 }
 
-// Closed ends it from the client's side.
+// Closed removes a connection that the client has closed or that has failed.
 func (in *Intake) Closed(conn *sockets.Conn, _ error) {
-	if c := in.clients[conn]; c != nil {
-		in.forget(c)
+	if client := in.clients[conn]; client != nil {
+		in.remove(client)
 	}
 }
 
-// Data takes bytes from a client.
-func (in *Intake) Data(conn *sockets.Conn, b []byte) {
-	c := in.clients[conn]
-	if c == nil {
+// Data processes input from a client.
+func (in *Intake) Data(conn *sockets.Conn, data []byte) {
+	client := in.clients[conn]
+	if client == nil {
 		return
 	}
-	if c.deaf {
-		in.discard(c, len(b))
+	if client.ignoresInput {
+		in.discard(client, len(data))
 		return
 	}
-	in.read(c, b)
-	if c.window -= len(b); c.window <= 0 && c.behind.IsZero() {
-		c.behind = in.now
+	in.parse(client, data)
+	if client.readWindow -= len(data); client.readWindow <= 0 && client.unreadSince.IsZero() {
+		client.unreadSince = in.now
 	}
-	in.flush(c)
+	in.flush(client)
 }
 
-// read takes the requests that bytes hold, in their order.
-func (in *Intake) read(c *client, b []byte) {
-	for !c.deaf && len(b) > 0 {
-		if !c.parser.Begun() {
-			c.since = in.now
+// parse parses input, and serves the requests that it completes in their order.
+func (in *Intake) parse(client *clientConn, data []byte) {
+	for !client.ignoresInput && len(data) > 0 {
+		if !client.parser.Begun() {
+			client.lastActivity = in.now
 		}
-		rest, done, err := c.parser.Feed(b)
+		rest, done, err := client.parser.Feed(data)
 		if err != nil {
-			in.unreadable(c, err)
+			in.refuseUnreadable(client, err)
 			break
 		}
-		b = rest
+		data = rest
 		if done {
-			in.serve(c, c.parser.Take())
-		} else if c.parser.Waits() {
-			c.continues = true
+			in.serve(client, client.parser.Take())
+		} else if client.parser.Waits() {
+			client.awaitsContinue = true
 		}
 	}
-	if c.parser.Begun() {
-		in.begun[c] = true
+	if client.parser.Begun() {
+		in.partial[client] = true
 	} else {
-		delete(in.begun, c)
+		delete(in.partial, client)
 	}
 }
 
-// unreadable answers what can't be read.
-func (in *Intake) unreadable(c *client, err error) {
+// refuseUnreadable answers a request that can't be parsed, with the status that the parser suggests, or 400.
+func (in *Intake) refuseUnreadable(client *clientConn, err error) {
 	status := 400
 	var fault *http1.Fault
 	if errors.As(err, &fault) {
 		status = fault.Status
 	}
 	in.Refused.Unreadable++
-	in.giveUp(c, status)
+	in.abandonRequest(client, status)
 }
 
-// serve answers a request, or leaves it to be taken. A request that asks for it is the last on its connection.
-func (in *Intake) serve(c *client, m *http1.Message) {
-	a := in.expect(c)
-	if m.Close {
-		a.end, c.deaf = closesAtOnce, true
+// serve answers a request, or queues it for Take if it is a valid notice. After a request with "Connection: close",
+// the connection closes.
+func (in *Intake) serve(client *clientConn, message *http1.Message) {
+	pending := in.enqueueResponse(client)
+	if message.Close {
+		pending.closeMode, client.ignoresInput = closeAtOnce, true
 	}
-	path, _, _ := strings.Cut(m.Path, "?")
+	path, _, _ := strings.Cut(message.Path, "?")
 	switch {
 	case path == "/up" || path == "/counters":
-		m.Body.Free()
-		in.servePage(c, a, m.Method, path)
-	case m.Method != "POST":
-		m.Body.Free()
+		message.Body.Free()
+		in.servePage(client, pending, message.Method, path)
+	case message.Method != "POST":
+		message.Body.Free()
 		in.Refused.Malformed++
-		in.refuse(c, a, 405)
+		in.refuse(client, pending, 405)
 	case in.Leaving:
-		m.Body.Free()
+		message.Body.Free()
 		in.Refused.Leaving++
-		in.refuse(c, a, 503)
+		in.refuse(client, pending, 503)
 	default:
-		r, status := in.request(m, path)
+		request, status := in.parseNotice(message, path)
 		if status != 0 {
-			m.Body.Free()
-			in.refuse(c, a, status)
+			message.Body.Free()
+			in.refuse(client, pending, status)
 			return
 		}
-		r.client, r.answer, r.Since = c, a, c.behind
-		in.taken = append(in.taken, r)
+		request.client, request.response, request.Since = client, pending, client.unreadSince
+		in.submitted = append(in.submitted, request)
 	}
 }
 
-// servePage answers a request for a page. A client that asks for many at once, more than it can be reading, gets no more of
-// them, and nothing more is read of it: each costs a sender more than the client.
-func (in *Intake) servePage(c *client, a *answer, method, path string) {
-	if c.pagesAt != in.now {
-		c.pages, c.pagesAt = 0, in.now
+// servePage answers a request for a page. A client that requests more pages in one turn than it can be reading gets
+// no further pages, and no more of its input is read, because a page costs the sender more than the request costs
+// the client.
+func (in *Intake) servePage(client *clientConn, pending *response, method, path string) {
+	if client.pageTurn != in.now {
+		client.pageRequests, client.pageTurn = 0, in.now
 	}
-	if c.pages++; c.pages == in.limits.Pages {
+	if client.pageRequests++; client.pageRequests == in.limits.Pages {
 		in.Refused.Flooding++
-		c.full, c.floods = true, true
+		client.readStopped, client.flooding = true, true
 	}
-	end := goesOn
-	if in.Leaving || c.floods {
-		end = closesWhenQuiet
+	mode := keepOpen
+	if in.Leaving || client.flooding {
+		mode = closeWhenQuiet
 	}
 	switch {
 	case method != "GET":
-		a.settle(405, end)
-	case c.pages > in.limits.Pages:
-		a.settle(429, end)
+		pending.finish(405, mode)
+	case client.pageRequests > in.limits.Pages:
+		pending.finish(429, mode)
 	case path == "/counters":
-		a.body = in.pages()
-		a.settle(200, end)
+		pending.body = in.countersPage()
+		pending.finish(200, mode)
 	case in.Leaving:
-		a.settle(503, end)
+		pending.finish(503, mode)
 	default:
-		a.settle(200, end)
+		pending.finish(200, mode)
 	}
 }
 
-// request reads a notice, or says with which status it is malformed.
-func (in *Intake) request(m *http1.Message, path string) (*Request, int) {
-	grade := m.Get("request-class")
+// parseNotice reads the notice in a request. If the request is unusable, it returns the response status instead.
+func (in *Intake) parseNotice(message *http1.Message, path string) (*Request, int) {
+	grade := message.Get("request-class")
 	if grade == "" {
 		grade, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	}
-	g := slices.Index(in.names.Grades, grade)
-	if g < 0 {
+	gradeIndex := slices.Index(in.names.Grades, grade)
+	if gradeIndex < 0 {
 		in.Refused.Unknown++
 		return nil, 404
 	}
-	r := &Request{ID: m.Get("request-id"), Mark: m.Get("idempotency-key"), Grade: rules.GradeID(g),
-		Inherited: m.Get("client-retry") == "again", Body: m.Body}
-	left, err := strconv.ParseUint(m.Get("request-timeout-ms"), 10, 32)
-	to, found := destination(m.Get("x-consignee"))
-	if err != nil || !found || r.ID == "" || !plain(r.ID) || !plain(r.Mark) {
+	request := &Request{ID: message.Get("request-id"), Mark: message.Get("idempotency-key"),
+		Grade: rules.GradeID(gradeIndex), Inherited: message.Get("client-retry") == "again", Body: message.Body}
+	timeout, err := strconv.ParseUint(message.Get("request-timeout-ms"), 10, 32)
+	destination, found := parseDestination(message.Get("x-consignee"))
+	if err != nil || !found || request.ID == "" || !isPrintableASCII(request.ID) || !isPrintableASCII(request.Mark) {
 		in.Refused.Malformed++
 		return nil, 400
 	}
-	if !in.known(to) {
+	if !in.knownDestination(destination) {
 		in.Refused.Unknown++
-		return nil, 503 // it may be listed later: coming again is harmless
+		return nil, 503 // the destination may be listed later, and the client can safely resubmit
 	}
-	r.Left, r.Destination = rules.Millis(left), to
-	r.Portfolio = rules.PortfolioID(settings.Index(in.names.Portfolios, m.Get("tenant")))
-	if key := m.Get("affinity-key"); key != "" {
-		h := fnv.New64a()
-		h.Write([]byte(key))
-		r.Key = rules.KeyID(max(h.Sum64(), 1))
+	request.Left, request.Destination = rules.Millis(timeout), destination
+	request.Portfolio = rules.PortfolioID(settings.Index(in.names.Portfolios, message.Get("tenant")))
+	if key := message.Get("affinity-key"); key != "" {
+		hash := fnv.New64a()
+		hash.Write([]byte(key))
+		request.Key = rules.KeyID(max(hash.Sum64(), 1))
 	}
-	return r, 0
+	return request, 0
 }
 
-// plain tells whether a notice's id or mark can be handed on everywhere as it is, in a header and in JSON.
-func plain(s string) bool {
+// isPrintableASCII reports whether a notice's ID or idempotency key can be passed on unescaped in headers and in
+// JSON. It also limits the length to 256 bytes.
+func isPrintableASCII(s string) bool {
 	return len(s) <= 256 && !strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r > '~' })
 }
 
-// destination finds the number in "dest=7"; other parts may stand beside it.
-func destination(value string) (rules.DestinationID, bool) {
+// parseDestination finds the destination number in a header value such as "dest=7", which may have other parts too.
+func parseDestination(value string) (rules.DestinationID, bool) {
 	for part := range strings.FieldsFuncSeq(value, func(r rune) bool { return r == ',' || r == ';' || r == ' ' }) {
 		if number, found := strings.CutPrefix(part, "dest="); found {
-			n, err := strconv.ParseUint(number, 10, 31)
-			return rules.DestinationID(n), err == nil
+			id, err := strconv.ParseUint(number, 10, 31)
+			return rules.DestinationID(id), err == nil
 		}
 	}
 	return 0, false
 }
 
-// Take hands over the notices that have come.
+// Take returns the notices submitted since the last call.
 func (in *Intake) Take() []*Request {
-	taken := in.taken
-	in.taken = nil
-	return taken
+	submitted := in.submitted
+	in.submitted = nil
+	return submitted
 }
 
-// Answer writes the answer to a notice, behind those to what its client had sent before.
-func (in *Intake) Answer(r *Request, status int, retryAfter rules.Millis) {
-	c := r.client
-	if in.clients[c.conn] != c {
-		return // the client has gone
+// Answer sends the response to a notice, after the responses to its client's earlier requests. A positive
+// retryAfter, in milliseconds, is sent as a Retry-After header in seconds.
+func (in *Intake) Answer(request *Request, status int, retryAfter rules.Millis) {
+	client := request.client
+	if in.clients[client.conn] != client {
+		return // the client has disconnected
 	}
 	if retryAfter > 0 {
-		r.answer.fields = append(r.answer.fields, http1.Field{Name: "Retry-After",
+		request.response.fields = append(request.response.fields, http1.Field{Name: "Retry-After",
 			Value: strconv.FormatFloat(float64(retryAfter)/1000, 'f', 3, 64)})
 	}
-	end := goesOn
+	mode := keepOpen
 	if in.Leaving {
-		end = closesWhenQuiet
+		mode = closeWhenQuiet
 	}
-	r.answer.settle(status, end)
-	in.flush(c)
+	request.response.finish(status, mode)
+	in.flush(client)
 }
 
-// At sets the time for what comes next.
+// At sets the current time for the calls that follow.
 func (in *Intake) At(now time.Time) { in.now = now }
