--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,4 +1,4 @@
-// Package directory follows the list of receivers and hands in the notices of ends.
+// Package directory follows the platform's receiver list and sends it the outcome reports.
 package directory
 
 import (
@@ -16,14 +16,14 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// List is the platform's list of receivers, whole or what changed.
+// List is the platform's receiver list, either complete or only the changes since an earlier revision.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// Member is one receiver.
+// Member is one receiver in a List.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -34,12 +34,12 @@
 	Size     float64 `json:"size"`
 }
 
-var phases = map[string]rules.Standing{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone}
+var standingByPhase = map[string]rules.Standing{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone}
 
-// retiredMost is how many receivers that are gone are still known by their ids.
-const retiredMost = 1024
+// maxRetired is the number of removed receivers whose identities are remembered.
+const maxRetired = 1024
 
-// identity is what stays the same of a receiver: its number for the decisions, and what that stands for.
+// identity is what never changes about a receiver: its number in the decision module, and what the number stands for.
 type identity struct {
 	number      rules.ReceiverID
 	destination rules.DestinationID
@@ -47,102 +47,111 @@
 	zone        rules.ZoneID
 }
 
-// Receivers knows every receiver that is listed, by the number that the decisions use. A number is never used for another
-// receiver; one that is gone and comes back has its old one, so that what it told before still holds.
+// Receivers maps the listed receivers to the numbers that the decision module uses. A number is never reused for
+// another receiver. A receiver that is removed and listed again gets its old number, so that what is recorded about
+// it stays valid.
 type Receivers struct {
-	names        settings.Names
-	listed       map[string]identity
-	retired      map[string]identity
-	retiredOrder []string                     // oldest first; an id that came back may stand in it still
-	destinations map[rules.DestinationID]bool // listed at any time: what is for them is held while they have no receiver
-	gone         []rules.ReceiverID
-	last         rules.ReceiverID
-	Addresses    map[rules.ReceiverID]string
-	Zones        map[rules.ReceiverID]rules.ZoneID
+	names             settings.Names
+	listed            map[string]identity          // by receiver ID
+	retired           map[string]identity          // removed receivers, by receiver ID
+	retiredOrder      []string                     // oldest first; may still contain IDs that are listed again
+	knownDestinations map[rules.DestinationID]bool // ever listed: notices for them are held while they have no receiver
+	removed           []rules.ReceiverID           // not yet returned by Gone
+	lastNumber        rules.ReceiverID
+	Addresses         map[rules.ReceiverID]string
+	Zones             map[rules.ReceiverID]rules.ZoneID
 }
 
-// NewReceivers knows none yet.
+// NewReceivers returns an empty Receivers.
 func NewReceivers(names settings.Names) *Receivers {
-	return &Receivers{names: names, listed: map[string]identity{}, retired: map[string]identity{}, destinations: map[rules.DestinationID]bool{},
-		Addresses: map[rules.ReceiverID]string{}, Zones: map[rules.ReceiverID]rules.ZoneID{}}
+	return &Receivers{names: names, listed: map[string]identity{}, retired: map[string]identity{},
+		knownDestinations: map[rules.DestinationID]bool{},
+		Addresses:         map[rules.ReceiverID]string{}, Zones: map[rules.ReceiverID]rules.ZoneID{}}
 }
 
-// Knows tells whether a destination was ever listed.
-func (r *Receivers) Knows(d rules.DestinationID) bool { return r.destinations[d] }
+// Knows reports whether a destination has ever been listed.
+func (r *Receivers) Knows(d rules.DestinationID) bool { return r.knownDestinations[d] }
 
-// Gone hands over the receivers that are listed no more.
+// Gone returns the receivers removed from the list since the last call.
 func (r *Receivers) Gone() []rules.ReceiverID {
-	gone := r.gone
-	r.gone = nil
-	return gone
+	removed := r.removed
+	r.removed = nil
+	return removed
 }
 
-// Told puts a list into the decisions' words. What is gone from it is forgotten here at once.
+// Told applies a list and returns it in the form that the decision module uses. Receivers that the list removes are
+// removed from Addresses and Zones at once.
 func (r *Receivers) Told(list List) (rules.ListTold, error) {
-	told := rules.ListTold{Whole: list.Complete}
-	here := map[string]bool{}
-	for _, m := range list.Members {
-		standing, known := phases[m.Phase]
-		if !known || m.ID == "" || m.Cell < 0 || m.Cell > 1<<30 || standing != rules.Gone && m.HostPort == "" {
-			return told, fmt.Errorf("entry %q: cell %d, phase %q, address %q", m.ID, m.Cell, m.Phase, m.HostPort)
+	update := rules.ListTold{Whole: list.Complete}
+	present := map[string]bool{}
+	for _, member := range list.Members {
+		standing, known := standingByPhase[member.Phase]
+		if !known || member.ID == "" || member.Cell < 0 || member.Cell > 1<<30 ||
+			standing != rules.Gone && member.HostPort == "" {
+			return update, fmt.Errorf("entry %q is invalid: cell %d, phase %q, address %q",
+				member.ID, member.Cell, member.Phase, member.HostPort)
 		}
-		here[m.ID] = standing != rules.Gone
+		present[member.ID] = standing != rules.Gone
 	}
 	for id := range r.listed {
-		if is, named := here[id]; named && !is || !named && list.Complete {
-			r.forget(id, &told)
+		if isPresent, named := present[id]; named && !isPresent || !named && list.Complete {
+			r.remove(id, &update)
 		}
 	}
-	slices.SortFunc(told.Entries, func(a, b rules.Entry) int { return cmp.Compare(a.Receiver, b.Receiver) })
-	for _, m := range list.Members {
-		if !here[m.ID] || phases[m.Phase] == rules.Gone {
+	slices.SortFunc(update.Entries, func(a, b rules.Entry) int { return cmp.Compare(a.Receiver, b.Receiver) })
+	for _, member := range list.Members {
+		if !present[member.ID] || standingByPhase[member.Phase] == rules.Gone {
 			continue
 		}
-		known := r.identify(m, &told)
-		r.Addresses[known.number], r.Zones[known.number], r.destinations[known.destination] = m.HostPort, known.zone, true
-		told.Entries = append(told.Entries, rules.Entry{Receiver: known.number, Destination: known.destination,
-			Standing: phases[m.Phase], Kind: known.kind, Zone: known.zone, ListedRate: m.Size})
+		known := r.identify(member, &update)
+		r.Addresses[known.number], r.Zones[known.number], r.knownDestinations[known.destination] =
+			member.HostPort, known.zone, true
+		update.Entries = append(update.Entries, rules.Entry{Receiver: known.number, Destination: known.destination,
+			Standing: standingByPhase[member.Phase], Kind: known.kind, Zone: known.zone, ListedRate: member.Size})
 	}
-	return told, nil
+	return update, nil
 }
 
-// identify is the identity of a listed receiver. One that now stands for something else is another receiver.
-func (r *Receivers) identify(m Member, told *rules.ListTold) identity {
-	is := identity{destination: rules.DestinationID(m.Cell), kind: rules.KindID(settings.Index(r.names.Kinds, m.Flavor)),
-		zone: rules.ZoneID(settings.Index(r.names.Zones, m.Locality))}
-	known, listed := r.listed[m.ID]
+// identify returns the identity of a listed receiver. If the ID now stands for another destination, kind or zone,
+// it is another receiver and gets a new number.
+func (r *Receivers) identify(member Member, update *rules.ListTold) identity {
+	current := identity{destination: rules.DestinationID(member.Cell),
+		kind: rules.KindID(settings.Index(r.names.Kinds, member.Flavor)),
+		zone: rules.ZoneID(settings.Index(r.names.Zones, member.Locality))}
+	known, listed := r.listed[member.ID]
 	found := listed
 	if !listed {
-		known, found = r.retired[m.ID]
+		known, found = r.retired[member.ID]
 	}
-	if is.number = known.number; !found || is != known {
+	if current.number = known.number; !found || current != known {
 		if listed {
-			r.forget(m.ID, told)
+			r.remove(member.ID, update)
 		}
-		r.last++
-		is.number = r.last
+		r.lastNumber++
+		current.number = r.lastNumber
 	}
-	delete(r.retired, m.ID)
-	r.listed[m.ID] = is
-	return is
+	delete(r.retired, member.ID)
+	r.listed[member.ID] = current
+	return current
 }
 
-// forget takes a receiver that is gone off the list. Its identity is kept for a while.
-func (r *Receivers) forget(id string, told *rules.ListTold) {
+// remove takes a receiver off the list and adds the removal to update. The identity stays among the retired ones
+// until maxRetired later removals.
+func (r *Receivers) remove(id string, update *rules.ListTold) {
 	known := r.listed[id]
-	r.gone = append(r.gone, known.number)
-	told.Entries = append(told.Entries, rules.Entry{Receiver: known.number, Standing: rules.Gone})
+	r.removed = append(r.removed, known.number)
+	update.Entries = append(update.Entries, rules.Entry{Receiver: known.number, Standing: rules.Gone})
 	delete(r.listed, id)
 	delete(r.Addresses, known.number)
 	delete(r.Zones, known.number)
 	r.retired[id] = known
-	if r.retiredOrder = append(r.retiredOrder, id); len(r.retiredOrder) > retiredMost {
+	if r.retiredOrder = append(r.retiredOrder, id); len(r.retiredOrder) > maxRetired {
 		delete(r.retired, r.retiredOrder[0])
 		r.retiredOrder = slices.Delete(r.retiredOrder, 0, 1)
 	}
 }
 
-// End is one notice's end, as the platform wants it.
+// End is the final outcome of one notice, in the form in which it is reported to the platform.
 type End struct {
 	Notice    rules.NoticeID `json:"-"`
 	Message   string         `json:"message"`
@@ -150,13 +159,14 @@
 	RetryInMS float64        `json:"retry_in_ms,omitempty"`
 }
 
-// The two ends that a notice of ends can tell.
+// The values of End.Outcome.
 const (
-	GivenUp    = "given_up"
-	HandedBack = "handed_back"
+	GivenUp    = "given_up"    // broken off: the notice may have taken effect
+	HandedBack = "handed_back" // dismissed: trying the notice again is harmless
 )
 
-// Directory speaks with the platform at one address.
+// Directory exchanges requests with the platform at one address: it watches the receiver list and sends outcome
+// reports.
 type Directory struct {
 	net       *sockets.Net
 	limits    limits.Limits
@@ -164,270 +174,284 @@
 	address   string
 	receivers *Receivers
 
-	watch, ends exchange
-	revision    int64
-	anew        bool // the whole list is asked for next
-	watching    bool
-	lists       []rules.ListTold
-	failed      bool // a watch broke since the last time
-	Broken      int  // answers that could not be read
-	Why         string
-
-	owed  []End // not yet answered 204
-	sent  int   // of these, how many the request under way holds
-	batch int   // how many the next request may hold; 0: as many as fit
-	told  []rules.NoticeID
-	now   time.Time
+	watch, reports exchange
+	revision       int64
+	needsFullList  bool // the next watch asks for the complete list
+	watching       bool
+	lists          []rules.ListTold // not yet returned by Lists
+	watchFailed    bool             // a watch has failed since the last call of Lists
+	Broken         int              // number of responses that could not be used
+	Why            string           // the reason of the last of these, until the caller clears it
+
+	pending   []End            // not yet confirmed with status 204
+	inFlight  int              // how many of pending, from the first on, the current request contains
+	maxBatch  int              // how many the next request may contain; 0: as many as fit
+	confirmed []rules.NoticeID // not yet returned by Told
+	now       time.Time
 }
 
-// New makes a directory that knows a list up to a revision.
-func New(address string, l limits.Limits, pool *buffers.Pool, r *Receivers, revision int64) *Directory {
-	d := &Directory{limits: l, pool: pool, address: address, receivers: r, revision: revision}
-	d.watch = exchange{d: d, body: l.List, done: d.listed, failed: func() { d.failed = true }}
-	d.ends = exchange{d: d, body: l.Body, once: true, done: d.accepted, failed: func() { d.sent = 0 }}
+// New returns a Directory that starts from a list of the given revision, which the receivers already contain.
+func New(address string, lim limits.Limits, pool *buffers.Pool, receivers *Receivers, revision int64) *Directory {
+	d := &Directory{limits: lim, pool: pool, address: address, receivers: receivers, revision: revision}
+	d.watch = exchange{directory: d, maxBody: lim.List, onResponse: d.handleList,
+		onFailure: func() { d.watchFailed = true }}
+	d.reports = exchange{directory: d, maxBody: lim.Body, singleUse: true, onResponse: d.handleReportResponse,
+		onFailure: func() { d.inFlight = 0 }}
 	return d
 }
 
-// Use says on which sockets the exchanges go.
+// Use sets the network through which the requests are sent.
 func (d *Directory) Use(net *sockets.Net) { d.net = net }
 
-// Move goes on at another address, as a new configuration says: it is asked for the whole list, since what the old
-// one told last may not be what the new one counts from, and it gets every end that the old one has not taken.
+// Move switches to another platform address after a change of the configuration. The complete list is requested
+// from the new address, because its revisions need not continue those of the old one, and it receives every report
+// that the old one has not confirmed.
 func (d *Directory) Move(address string) {
 	if address == d.address {
 		return
 	}
-	d.address, d.anew, d.sent = address, true, 0
-	for _, x := range []*exchange{&d.watch, &d.ends} {
-		x.end()
-		x.pause, x.due = 0, time.Time{}
+	d.address, d.needsFullList, d.inFlight = address, true, 0
+	for _, x := range []*exchange{&d.watch, &d.reports} {
+		x.closeConn()
+		x.backoff, x.due = 0, time.Time{}
 	}
 }
 
-// Watch begins to follow the list, and goes on until Stop.
+// Watch starts watching the receiver list, until Stop.
 func (d *Directory) Watch() { d.watching = true }
 
-// Stop ends the watch.
+// Stop stops the watch.
 func (d *Directory) Stop() { d.watching = false }
 
-// Ended hands in a notice of an end; it is kept until the platform has taken it.
-func (d *Directory) Ended(e End) { d.owed = append(d.owed, e) }
+// Ended queues an outcome report, which is kept until the platform has confirmed it.
+func (d *Directory) Ended(e End) { d.pending = append(d.pending, e) }
 
-// Owed is the number of ends not taken yet.
-func (d *Directory) Owed() int { return len(d.owed) }
+// Owed returns the number of outcome reports that the platform has not confirmed yet.
+func (d *Directory) Owed() int { return len(d.pending) }
 
-// Lists hands over what the watch told, and whether it broke.
+// Lists returns the list updates received since the last call, and whether a watch has failed since then.
 func (d *Directory) Lists() (lists []rules.ListTold, failed bool) {
-	lists, failed = d.lists, d.failed
-	d.lists, d.failed = nil, false
+	lists, failed = d.lists, d.watchFailed
+	d.lists, d.watchFailed = nil, false
 	return lists, failed
 }
 
-// Told hands over the notices whose ends the platform has taken.
+// Told returns the notices whose outcome reports were confirmed, or dropped as unreadable, since the last call.
 func (d *Directory) Told() []rules.NoticeID {
-	told := d.told
-	d.told = nil
-	return told
+	confirmed := d.confirmed
+	d.confirmed = nil
+	return confirmed
 }
 
-// At sets the time for what comes next.
+// At sets the current time for the calls that follow.
 func (d *Directory) At(now time.Time) { d.now = now }
 
-// Step begins what is due and returns when it wants to be called again.
+// Step sends the requests that are due, handles timeouts, and returns when to call it again.
 func (d *Directory) Step() (next time.Time) {
 	if d.watching {
-		d.watch.step(d.limits.Hold+d.limits.AnswerTime, func(b []byte) []byte {
+		d.watch.step(d.limits.Hold+d.limits.AnswerTime, func(buffer []byte) []byte {
 			path := fmt.Sprintf("/discovery/hosts?from=%d&hold_ms=%d", d.revision, d.limits.Hold.Milliseconds())
-			if d.anew {
+			if d.needsFullList {
 				path = "/discovery/hosts"
 			}
-			return http1.AppendRequest(b, "GET", path, d.address, nil, -1)
+			return http1.AppendRequest(buffer, "GET", path, d.address, nil, -1)
 		})
 		next = d.watch.due
 	}
-	if len(d.owed) > 0 {
-		d.ends.step(d.limits.AnswerTime, func(b []byte) []byte {
+	if len(d.pending) > 0 {
+		d.reports.step(d.limits.AnswerTime, func(buffer []byte) []byte {
 			var lines []byte
-			d.sent = 0
-			for _, e := range d.owed {
-				line, err := json.Marshal(e)
-				if err != nil || len(lines)+len(line) >= d.limits.Body || d.batch > 0 && d.sent == d.batch {
+			d.inFlight = 0
+			for _, end := range d.pending {
+				line, err := json.Marshal(end)
+				if err != nil || len(lines)+len(line) >= d.limits.Body || d.maxBatch > 0 && d.inFlight == d.maxBatch {
 					break
 				}
 				lines = append(append(lines, line...), '\n')
-				d.sent++
+				d.inFlight++
 			}
-			return append(http1.AppendRequest(b, "POST", "/v2/finals", d.address, nil, len(lines)), lines...)
+			return append(http1.AppendRequest(buffer, "POST", "/v2/finals", d.address, nil, len(lines)), lines...)
 		})
-		if next.IsZero() || d.ends.due.Before(next) {
-			next = d.ends.due
+		if next.IsZero() || d.reports.due.Before(next) {
+			next = d.reports.due
 		}
 	}
 	return next
 }
 
-// listed takes a list. A broken one is passed over: the last list holds, and the watch goes on after a pause. So is one that is
-// older than the last: it may be a copy of an earlier answer, and the whole list is asked for on another connection.
-func (d *Directory) listed(m *http1.Message) bool {
+// handleList applies the list in a response and reports whether it was usable. After an unusable response, the last
+// list stays in force and the watch continues after the backoff. A list that is older than the last one, on a
+// connection that was used before, is unusable too: it may repeat an earlier response, so the complete list is
+// requested on a new connection.
+func (d *Directory) handleList(message *http1.Message) bool {
 	var list List
-	err := json.Unmarshal(m.Body.AppendTo(nil), &list)
-	if m.Status != 200 {
-		err = fmt.Errorf("status %d", m.Status)
+	err := json.Unmarshal(message.Body.AppendTo(nil), &list)
+	if message.Status != 200 {
+		err = fmt.Errorf("expected status 200, got %d", message.Status)
 	}
-	if err == nil && !d.anew && list.Revision < d.revision && d.watch.carried > 1 {
-		d.anew = true
-		err = fmt.Errorf("revision %d after %d", list.Revision, d.revision)
+	if err == nil && !d.needsFullList && list.Revision < d.revision && d.watch.requests > 1 {
+		d.needsFullList = true
+		err = fmt.Errorf("revision %d is older than the last revision %d", list.Revision, d.revision)
 	}
-	var told rules.ListTold
+	var update rules.ListTold
 	if err == nil {
-		told, err = d.receivers.Told(list)
+		update, err = d.receivers.Told(list)
 	}
 	if err != nil {
-		d.broken(fmt.Errorf("list: %w", err))
+		d.countUnusable(fmt.Errorf("receiver list: %w", err))
 		return false
 	}
-	if !d.anew && list.Revision <= d.revision && d.now.Sub(d.watch.began) < d.limits.Hold/2 {
-		d.watch.due = d.now.Add(d.limits.Again) // it does not hold watches: don't ask without end
+	if !d.needsFullList && list.Revision <= d.revision && d.now.Sub(d.watch.requestedAt) < d.limits.Hold/2 {
+		d.watch.due = d.now.Add(d.limits.Again) // the platform does not hold watches open: don't poll in a tight loop
 	}
-	d.revision, d.anew = list.Revision, false
-	if len(told.Entries) > 0 || told.Whole {
-		d.lists = append(d.lists, told)
+	d.revision, d.needsFullList = list.Revision, false
+	if len(update.Entries) > 0 || update.Whole {
+		d.lists = append(d.lists, update)
 	}
 	return true
 }
 
-func (d *Directory) broken(err error) {
+// countUnusable counts a response that could not be used, and keeps the reason for the log.
+func (d *Directory) countUnusable(err error) {
 	d.Broken++
 	d.Why = err.Error()
 }
 
-// accepted takes the platform's word on a batch of ends.
-func (d *Directory) accepted(m *http1.Message) bool {
-	if m.Status != 204 {
-		d.broken(fmt.Errorf("notices of ends: status %d", m.Status))
-		if m.Status != 400 || d.sent == 0 {
+// handleReportResponse processes the response to a batch of outcome reports, and reports whether the next batch can
+// be sent without a backoff.
+func (d *Directory) handleReportResponse(message *http1.Message) bool {
+	if message.Status != 204 {
+		d.countUnusable(fmt.Errorf("outcome reports: expected status 204, got %d", message.Status))
+		if message.Status != 400 || d.inFlight == 0 {
 			return false
 		}
-		// One that can't be read must not keep all others: halves tell which it is, and it is given up.
-		if d.sent > 1 {
-			d.batch = d.sent / 2
+		// One report that the platform can't read must not block all others: halving the batch finds it, and it is
+		// dropped.
+		if d.inFlight > 1 {
+			d.maxBatch = d.inFlight / 2
 			return true
 		}
-		d.Why = fmt.Sprintf("the platform can't read the end of %q, which is given up", d.owed[0].Message)
+		d.Why = fmt.Sprintf("the platform can't read the outcome report of notice %q: dropped", d.pending[0].Message)
 	}
-	d.batch = 0
-	for _, e := range d.owed[:d.sent] {
-		d.told = append(d.told, e.Notice)
+	d.maxBatch = 0
+	for _, end := range d.pending[:d.inFlight] {
+		d.confirmed = append(d.confirmed, end.Notice)
 	}
-	d.owed = slices.Delete(d.owed, 0, d.sent)
-	d.sent = 0
+	d.pending = slices.Delete(d.pending, 0, d.inFlight)
+	d.inFlight = 0
 	return true
 }
 
-// exchange is a connection that carries one request after another to the platform.
+// exchange sends requests to the platform one after another, over a connection that it opens when needed.
 type exchange struct {
-	d      *Directory
-	body   int
-	once   bool // each request has a connection of its own, so that no answer can be another request's
-	done   func(*http1.Message) bool
-	failed func()
-
-	conn    *sockets.Conn
-	parser  *http1.Parser
-	up      bool
-	carried int       // requests on this connection
-	asked   bool      // a request is under way
-	began   time.Time // when it was asked
-	due     time.Time
-	pause   time.Duration
-	out     []byte
+	directory  *Directory
+	maxBody    int  // bytes of a response body
+	singleUse  bool // each request has its own connection, so that no response can belong to another request
+	onResponse func(*http1.Message) bool
+	onFailure  func()
+
+	conn        *sockets.Conn
+	parser      *http1.Parser
+	connected   bool
+	requests    int       // sent on this connection
+	awaiting    bool      // a request is waiting for its response
+	requestedAt time.Time // when the last request was sent
+	due         time.Time // when step has to act next: a request, or a timeout
+	backoff     time.Duration
+	writeBuffer []byte
 }
 
-// step writes the next request when it is time, on a new connection if need be, and gives up a late one.
-func (x *exchange) step(patience time.Duration, request func([]byte) []byte) {
-	l := x.d.limits
-	if x.d.now.Before(x.due) {
+// step sends the next request once it is due, on a new connection if necessary. A request or a connection attempt
+// that is still unfinished when it is due has timed out, and fails.
+func (x *exchange) step(timeout time.Duration, appendRequest func([]byte) []byte) {
+	lim := x.directory.limits
+	if x.directory.now.Before(x.due) {
 		return
 	}
-	if x.asked || x.conn != nil && !x.up {
+	if x.awaiting || x.conn != nil && !x.connected {
 		x.fail()
 		return
 	}
 	if x.conn == nil {
-		x.parser = http1.NewParser(x.d.pool, true, l.Head, l.Fields, x.body)
-		x.conn, x.up, x.carried = x.d.net.Dial(x.d.address, l.ConnectTime, l.Head+x.body, x), false, 0
-		x.due = x.d.now.Add(2 * l.ConnectTime)
+		x.parser = http1.NewParser(x.directory.pool, true, lim.Head, lim.Fields, x.maxBody)
+		x.conn, x.connected, x.requests =
+			x.directory.net.Dial(x.directory.address, lim.ConnectTime, lim.Head+x.maxBody, x), false, 0
+		x.due = x.directory.now.Add(2 * lim.ConnectTime)
 		return
 	}
-	x.carried++
-	x.out = request(x.out[:0])
-	x.asked, x.began, x.due = true, x.d.now, x.d.now.Add(patience)
-	x.conn.Write(x.out)
+	x.requests++
+	x.writeBuffer = appendRequest(x.writeBuffer[:0])
+	x.awaiting, x.requestedAt, x.due = true, x.directory.now, x.directory.now.Add(timeout)
+	x.conn.Write(x.writeBuffer)
 }
 
-// fail lets the connection go and waits, longer each time.
+// fail closes the connection and schedules the next attempt with exponential backoff.
 func (x *exchange) fail() {
-	x.end()
-	x.pause = min(max(2*x.pause, x.d.limits.BackOff), x.d.limits.BackOffMost)
-	x.due = x.d.now.Add(x.pause)
-	x.failed()
+	x.closeConn()
+	x.backoff = min(max(2*x.backoff, x.directory.limits.BackOff), x.directory.limits.BackOffMost)
+	x.due = x.directory.now.Add(x.backoff)
+	x.onFailure()
 }
 
-// end lets the connection go, and what was asked on it.
-func (x *exchange) end() {
+// closeConn closes the connection and abandons the request that waits on it.
+func (x *exchange) closeConn() {
 	if x.conn != nil {
 		x.conn.Close()
 		x.parser.Free()
 	}
-	x.conn, x.asked, x.up = nil, false, false
+	x.conn, x.awaiting, x.connected = nil, false, false
 }
 
+// Opened implements sockets.Owner.
 func (x *exchange) Opened(conn *sockets.Conn) {
 	if conn == x.conn {
-		x.up, x.due = true, time.Time{}
+		x.connected, x.due = true, time.Time{}
 	}
 }
 
-func (x *exchange) Data(conn *sockets.Conn, b []byte) {
+// Data implements sockets.Owner. Bytes that arrive while no request waits for a response are a failure.
+func (x *exchange) Data(conn *sockets.Conn, data []byte) {
 	if conn != x.conn {
 		return
 	}
-	if !x.asked {
+	if !x.awaiting {
 		x.fail()
 		return
 	}
-	rest, done, err := x.parser.Feed(b)
+	rest, done, err := x.parser.Feed(data)
 	if err != nil {
-		x.d.broken(err)
+		x.directory.countUnusable(err)
 		x.fail()
 	} else if done {
-		x.answered(x.parser.Take(), len(rest) > 0)
+		x.handleResponse(x.parser.Take(), len(rest) > 0)
 	}
 }
 
+// Closed implements sockets.Owner.
 func (x *exchange) Closed(conn *sockets.Conn, _ error) {
 	switch {
 	case conn != x.conn:
-	case x.asked && x.parser.End() == nil:
-		x.answered(x.parser.Take(), true)
-	case x.asked || !x.up:
+	case x.awaiting && x.parser.End() == nil:
+		x.handleResponse(x.parser.Take(), true)
+	case x.awaiting || !x.connected:
 		x.fail()
-	default: // an idle connection ended
+	default: // the platform closed an idle connection
 		x.parser.Free()
 		x.conn = nil
 	}
 }
 
-func (x *exchange) answered(m *http1.Message, closes bool) {
-	x.asked, x.due = false, time.Time{}
-	fine := x.done(m)
-	m.Body.Free()
-	if !fine {
+// handleResponse passes a complete response on, and closes the connection unless it can be used again.
+func (x *exchange) handleResponse(message *http1.Message, closes bool) {
+	x.awaiting, x.due = false, time.Time{}
+	usable := x.onResponse(message)
+	message.Body.Free()
+	if !usable {
 		x.fail()
 		return
 	}
-	x.pause = 0
-	if closes || m.Close || x.once {
-		x.end()
+	x.backoff = 0
+	if closes || message.Close || x.singleUse {
+		x.closeConn()
 	}
 }
--- a/internal/directory/exchanges_test.go
+++ b/internal/directory/exchanges_test.go
@@ -19,8 +19,8 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// platformStage is a directory with a platform of the test's own, which answers each request by a script.
-type platformStage struct {
+// platformTest is a Directory connected to a fake platform, whose responses the test scripts.
+type platformTest struct {
 	directory *Directory
 	net       *sockets.Net
 }
@@ -30,124 +30,130 @@
 	*http.Request
 	body   string
 	conn   net.Conn
-	number int // of its connection, from 1 on
+	number int // of the request on its connection, from 1 on
 }
 
-func beginPlatform(t *testing.T, answer func(platformRequest)) *platformStage {
+// startPlatform starts a fake platform, and a Directory that knows revision 40 of its list.
+func startPlatform(t *testing.T, respond func(platformRequest)) *platformTest {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
 		for {
-			c, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				reader := bufio.NewReader(c)
-				for n := 1; ; n++ {
-					r, err := http.ReadRequest(reader)
+				reader := bufio.NewReader(conn)
+				for number := 1; ; number++ {
+					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					body, _ := io.ReadAll(r.Body)
-					answer(platformRequest{r, string(body), c, n})
+					body, _ := io.ReadAll(request.Body)
+					respond(platformRequest{request, string(body), conn, number})
 				}
 			}()
 		}
 	}()
-	l := limits.For(limits.Machine{}, rules.Settings{}, 1000)
-	pool := buffers.NewPool(l.Buffer)
-	s := &platformStage{directory: New(listener.Addr().String(), l, pool, NewReceivers(settings.Names{}), 40)}
-	if s.net, err = sockets.Start("127.0.0.1:0", l, pool, nil); err != nil {
+	lim := limits.For(limits.Machine{}, rules.Settings{}, 1000)
+	pool := buffers.NewPool(lim.Buffer)
+	test := &platformTest{directory: New(listener.Addr().String(), lim, pool, NewReceivers(settings.Names{}), 40)}
+	if test.net, err = sockets.Start("127.0.0.1:0", lim, pool, nil); err != nil {
 		t.Fatal(err)
 	}
-	s.directory.Use(s.net)
-	t.Cleanup(func() { listener.Close(); s.net.Stop() })
-	return s
+	test.directory.Use(test.net)
+	t.Cleanup(func() { listener.Close(); test.net.Stop() })
+	return test
 }
 
-// until plays turns until a condition holds, for 5 s at most.
-func (s *platformStage) until(t *testing.T, holds func() bool) {
+// runUntil runs the directory until a condition holds, for 5 s at most.
+func (p *platformTest) runUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !holds(); {
-		if time.Now().After(end) {
-			t.Fatal("it did not come to that")
+	for deadline := time.Now().Add(5 * time.Second); !condition(); {
+		if time.Now().After(deadline) {
+			t.Fatal("the condition did not hold within 5 s")
 		}
 		time.Sleep(time.Millisecond)
-		s.directory.At(time.Now())
-		s.net.Gather()
-		s.directory.Step()
+		p.directory.At(time.Now())
+		p.net.Gather()
+		p.directory.Step()
 	}
 }
 
-func TestCopyOfThePlatformsAnswerIsNotTakenForTheNextEnds(t *testing.T) {
+// A platform that repeats its first response must not confirm the next outcome report with it. Each report
+// therefore has a connection of its own.
+func TestRepeatedResponseDoesNotConfirmTheNextReport(t *testing.T) {
 	var mu sync.Mutex
 	posts := 0
-	s := beginPlatform(t, func(r platformRequest) {
+	test := startPlatform(t, func(request platformRequest) {
 		mu.Lock()
 		defer mu.Unlock()
 		posts++
 		switch {
 		case posts != 2:
-			io.WriteString(r.conn, "HTTP/1.1 204 No Content\r\n\r\n")
-		case r.number > 1:
-			io.WriteString(r.conn, "HTTP/1.1 204 No Content\r\n\r\n") // the first request's once more
+			io.WriteString(request.conn, "HTTP/1.1 204 No Content\r\n\r\n")
+		case request.number > 1:
+			io.WriteString(request.conn, "HTTP/1.1 204 No Content\r\n\r\n") // repeats the response to the first request
 			fallthrough
 		default:
 			time.Sleep(20 * time.Millisecond)
-			io.WriteString(r.conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+			io.WriteString(request.conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	var taken []rules.NoticeID
+	var confirmed []rules.NoticeID
 	for number := range rules.NoticeID(2) {
-		s.directory.Ended(End{Notice: number, Message: fmt.Sprint(number), Outcome: GivenUp})
-		s.until(t, func() bool {
-			taken = append(taken, s.directory.Told()...)
-			return slices.Contains(taken, number)
+		test.directory.Ended(End{Notice: number, Message: fmt.Sprint(number), Outcome: GivenUp})
+		test.runUntil(t, func() bool {
+			confirmed = append(confirmed, test.directory.Told()...)
+			return slices.Contains(confirmed, number)
 		})
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if posts < 3 {
-		t.Errorf("an end that the platform answered 500 counts as taken after %d requests", posts)
+		t.Errorf("a report that the platform answered with status 500 counts as confirmed after %d requests", posts)
 	}
 }
 
+// A repeated response with an older list, on a connection that was used before, must not list a removed receiver
+// again: the complete list is requested instead.
 func TestOlderListOnAUsedConnectionBringsNoReceiverBack(t *testing.T) {
-	list := func(c net.Conn, revision int, complete bool, members string) {
+	respond := func(conn net.Conn, revision int, complete bool, members string) {
 		text := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, members)
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
-	const gone, ready = `{"id":"a","host_port":"127.0.0.1:1","cell":1,"phase":"gone"}`, `{"id":"a","host_port":"127.0.0.1:1","cell":1,"phase":"ready"}`
-	var askedAnew atomic.Bool
+	const gone, ready = `{"id":"a","host_port":"127.0.0.1:1","cell":1,"phase":"gone"}`,
+		`{"id":"a","host_port":"127.0.0.1:1","cell":1,"phase":"ready"}`
+	var fullListRequested atomic.Bool
 	requests := 0
-	s := beginPlatform(t, func(r platformRequest) {
+	test := startPlatform(t, func(request platformRequest) {
 		switch requests++; {
 		case requests == 1:
-			list(r.conn, 41, true, ready)
+			respond(request.conn, 41, true, ready)
 		case requests == 2:
-			list(r.conn, 43, false, gone)
+			respond(request.conn, 43, false, gone)
 		case requests == 3:
-			list(r.conn, 41, true, ready) // the first once more
-		case r.URL.RawQuery == "":
-			list(r.conn, 43, true, "")
-			askedAnew.Store(true)
+			respond(request.conn, 41, true, ready) // repeats the first response
+		case request.URL.RawQuery == "":
+			respond(request.conn, 43, true, "")
+			fullListRequested.Store(true)
 		}
 	})
-	s.directory.Watch()
-	newer := false
-	s.until(t, func() bool {
-		newer = newer || s.directory.revision == 43
-		lists, _ := s.directory.Lists()
-		for _, told := range lists {
-			for _, e := range told.Entries {
-				if newer && e.Standing == rules.Ready {
-					t.Fatalf("a receiver that is gone is back at revision %d", s.directory.revision)
+	test.directory.Watch()
+	removed := false
+	test.runUntil(t, func() bool {
+		removed = removed || test.directory.revision == 43
+		lists, _ := test.directory.Lists()
+		for _, update := range lists {
+			for _, entry := range update.Entries {
+				if removed && entry.Standing == rules.Ready {
+					t.Fatalf("a removed receiver is listed again at revision %d", test.directory.revision)
 				}
 			}
 		}
-		return askedAnew.Load()
+		return fullListRequested.Load()
 	})
 }
