--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,6 @@
-// Package logs writes the sender's log. Whoever logs never waits: lines go through a queue to a goroutine of the
-// log's own, and what a blocked reader leaves no room for is dropped and counted. Events that repeat are sampled.
+// Package logs writes the sender's log without blocking its caller: lines pass through a queue to a separate
+// goroutine, and lines that find the queue full, because the reader is blocked, are dropped and counted. Frequent
+// events are sampled.
 package logs
 
 import (
@@ -11,46 +12,47 @@
 )
 
 const (
-	queued  = 1024        // lines that wait to be written
-	often   = 10          // lines of a sampled event in a span
-	pause   = time.Second // that span
-	goodbye = 200 * time.Millisecond
+	queueLength      = 1024 // lines waiting to be written
+	maxPerInterval   = 10   // lines of one sampled event in a sampling interval
+	samplingInterval = time.Second
+	closeTimeout     = 200 * time.Millisecond
 )
 
-// Writer passes lines on without making their writer wait.
+// Writer queues log lines for output without blocking, and counts the lines that are dropped or omitted.
 type Writer struct {
 	lines   chan []byte
 	done    chan struct{}
 	once    sync.Once
 	mu      sync.Mutex
-	dropped int
-	counts  map[string]*count
+	dropped int                    // lines dropped since the last LinesDropped line
+	counts  map[string]*eventCount // by event name
 }
 
-// count is how often a sampled event came in the present span.
-type count struct {
-	since   time.Time
+// eventCount counts the lines of a sampled event in its current sampling interval.
+type eventCount struct {
+	start   time.Time // of the interval
 	written int
-	left    int
+	omitted int
 }
 
 var levels = map[string]slog.Level{
 	"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError,
 }
 
-// New makes a logger of a format, text or json, that writes to out from a level on. Close the Writer at the end.
+// New returns a logger that writes to out, in the format "text" or "json", the lines of at least the given level.
+// The caller closes the Writer at exit.
 func New(out io.Writer, format, level string) (*slog.Logger, *Writer) {
-	w := &Writer{lines: make(chan []byte, queued), done: make(chan struct{}), counts: map[string]*count{}}
+	writer := &Writer{lines: make(chan []byte, queueLength), done: make(chan struct{}), counts: map[string]*eventCount{}}
 	options := &slog.HandlerOptions{Level: levels[level]}
-	var h slog.Handler = slog.NewTextHandler(w, options)
+	var handler slog.Handler = slog.NewTextHandler(writer, options)
 	if format == "json" {
-		h = slog.NewJSONHandler(w, options)
+		handler = slog.NewJSONHandler(writer, options)
 	}
-	go w.pass(out, h)
-	return slog.New(&sampler{h, w}), w
+	go writer.writeLines(out, handler)
+	return slog.New(&sampler{handler, writer}), writer
 }
 
-// Write takes a line, or drops it.
+// Write queues a line, or drops it if the queue is full. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -62,18 +64,19 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines dropped and not told yet.
+// Dropped returns the number of dropped lines that no LinesDropped line has reported yet.
 func (w *Writer) Dropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// pass is the log's own goroutine.
-func (w *Writer) pass(out io.Writer, h slog.Handler) {
+// writeLines writes the queued lines to out until the queue is closed, and logs the numbers of dropped and omitted
+// lines.
+func (w *Writer) writeLines(out io.Writer, handler slog.Handler) {
 	defer close(w.done)
-	tell := time.NewTicker(pause)
-	defer tell.Stop()
+	ticker := time.NewTicker(samplingInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case line, more := <-w.lines:
@@ -81,88 +84,93 @@
 				return
 			}
 			out.Write(line)
-			if w.mu.Lock(); w.dropped > 0 && len(w.lines) < queued/2 {
-				n := w.dropped
+			if w.mu.Lock(); w.dropped > 0 && len(w.lines) < queueLength/2 {
+				dropped := w.dropped
 				w.dropped = 0
 				w.mu.Unlock()
-				w.say(h, slog.LevelWarn, LinesDropped, slog.Int("count", n))
+				w.logEvent(handler, slog.LevelWarn, LinesDropped, slog.Int("count", dropped))
 			} else {
 				w.mu.Unlock()
 			}
-		case now := <-tell.C:
-			for name, left := range w.due(now) {
-				w.say(h, slog.LevelInfo, LeftOut, slog.String("event", name), slog.Int("count", left))
+		case now := <-ticker.C:
+			for name, omitted := range w.endIntervals(now) {
+				w.logEvent(handler, slog.LevelInfo, LeftOut, slog.String("event", name), slog.Int("count", omitted))
 			}
 		}
 	}
 }
 
-func (w *Writer) say(h slog.Handler, level slog.Level, name string, attrs ...slog.Attr) {
-	r := slog.NewRecord(time.Now(), level, name, 0)
-	r.AddAttrs(attrs...)
-	h.Handle(context.Background(), r)
+// logEvent logs an event of the log itself.
+func (w *Writer) logEvent(handler slog.Handler, level slog.Level, name string, attrs ...slog.Attr) {
+	record := slog.NewRecord(time.Now(), level, name, 0)
+	record.AddAttrs(attrs...)
+	handler.Handle(context.Background(), record)
 }
 
-// passes tells whether one more line of an event may be written.
-func (w *Writer) passes(name string, now time.Time) bool {
+// allow reports whether one more line of a sampled event may be written, and counts the line.
+func (w *Writer) allow(name string, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := w.counts[name]
-	if c == nil {
-		c = &count{since: now}
-		w.counts[name] = c
+	current := w.counts[name]
+	if current == nil {
+		current = &eventCount{start: now}
+		w.counts[name] = current
 	}
-	if now.Sub(c.since) >= pause && c.left == 0 {
-		*c = count{since: now}
+	if now.Sub(current.start) >= samplingInterval && current.omitted == 0 {
+		*current = eventCount{start: now}
 	}
-	if c.written >= often {
-		c.left++
+	if current.written >= maxPerInterval {
+		current.omitted++
 		return false
 	}
-	c.written++
+	current.written++
 	return true
 }
 
-// due ends the spans that are over and returns how many lines each left out.
-func (w *Writer) due(now time.Time) map[string]int {
+// endIntervals ends the sampling intervals that are over, and returns the number of omitted lines by event name,
+// for events with any.
+func (w *Writer) endIntervals(now time.Time) map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	left := map[string]int{}
-	for name, c := range w.counts {
-		if now.Sub(c.since) >= pause && c.left > 0 {
-			left[name] = c.left
-			*c = count{since: now}
+	omitted := map[string]int{}
+	for name, current := range w.counts {
+		if now.Sub(current.start) >= samplingInterval && current.omitted > 0 {
+			omitted[name] = current.omitted
+			*current = eventCount{start: now}
 		}
 	}
-	return left
+	return omitted
 }
 
-// Close writes what waits, for a short while at most: nobody may read any more.
+// Close writes the queued lines, but waits at most closeTimeout for that, because the reader may be blocked.
 func (w *Writer) Close() {
 	w.once.Do(func() { close(w.lines) })
 	select {
 	case <-w.done:
-	case <-time.After(goodbye):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// sampler leaves out repeated lines of the events that are sampled.
+// sampler is a slog.Handler that omits lines of sampled events beyond the allowed rate.
 type sampler struct {
 	slog.Handler
-	w *Writer
+	writer *Writer
 }
 
-func (s *sampler) Handle(c context.Context, r slog.Record) error {
-	if e := event(r.Message); e != nil && e.Sampled && !s.w.passes(r.Message, r.Time) {
+// Handle implements slog.Handler.
+func (s *sampler) Handle(ctx context.Context, record slog.Record) error {
+	if e := findEvent(record.Message); e != nil && e.Sampled && !s.writer.allow(record.Message, record.Time) {
 		return nil
 	}
-	return s.Handler.Handle(c, r)
+	return s.Handler.Handle(ctx, record)
 }
 
+// WithAttrs implements slog.Handler.
 func (s *sampler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &sampler{s.Handler.WithAttrs(attrs), s.w}
+	return &sampler{s.Handler.WithAttrs(attrs), s.writer}
 }
 
+// WithGroup implements slog.Handler.
 func (s *sampler) WithGroup(name string) slog.Handler {
-	return &sampler{s.Handler.WithGroup(name), s.w}
+	return &sampler{s.Handler.WithGroup(name), s.writer}
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// stuck is a reader that reads nothing until it is freed.
-type stuck struct {
+// blockedOutput is an output that blocks every write until free is closed.
+type blockedOutput struct {
 	free chan struct{}
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.free
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.text.Write(b)
+func (o *blockedOutput) Write(line []byte) (int, error) {
+	<-o.free
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.text.Write(line)
 }
 
-// A log that nobody reads must not make its writer wait; what is lost is counted.
+// A blocked output must not block the callers of the logger. The lines that are lost are counted.
 func TestNeverWaits(t *testing.T) {
-	out := &stuck{free: make(chan struct{})}
-	log, lines := New(out, "text", "info")
+	out := &blockedOutput{free: make(chan struct{})}
+	log, writer := New(out, "text", "info")
 	done := make(chan struct{})
 	go func() {
-		for range 3 * queued {
+		for range 3 * queueLength {
 			log.Info(Breaker, "state", "open")
 		}
 		close(done)
@@ -36,48 +36,48 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the writer waits")
+		t.Fatal("logging to a blocked output took more than 10 s")
 	}
-	if n := lines.Dropped(); n < 2*queued-2 || n > 2*queued {
-		t.Errorf("%d lines dropped", n)
+	if dropped := writer.Dropped(); dropped < 2*queueLength-2 || dropped > 2*queueLength {
+		t.Errorf("%d lines dropped", dropped)
 	}
 	close(out.free)
 	for range 1000 {
-		if lines.Dropped() == 0 && len(lines.lines) == 0 {
+		if writer.Dropped() == 0 && len(writer.lines) == 0 {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
-	lines.Close()
+	writer.Close()
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	if written := strings.Count(out.text.String(), "msg="+Breaker); written < queued || written > queued+2 ||
+	if written := strings.Count(out.text.String(), "msg="+Breaker); written < queueLength || written > queueLength+2 ||
 		strings.Count(out.text.String(), "msg="+LinesDropped) != 1 {
-		t.Errorf("%d written, and\n%s", written, out.text.String()[max(0, out.text.Len()-500):])
+		t.Errorf("%d lines written, of which the last are\n%s", written, out.text.String()[max(0, out.text.Len()-500):])
 	}
 }
 
-// What repeats is left out and counted; what tells a change of state never is.
+// Lines of a sampled event beyond the limit are omitted and counted, until the next sampling interval.
 func TestSamples(t *testing.T) {
-	_, w := New(io.Discard, "json", "info")
-	defer w.Close()
+	_, writer := New(io.Discard, "json", "info")
+	defer writer.Close()
 	now := time.Now()
-	passed := 0
+	allowed := 0
 	for i := range 100 {
-		if w.passes(LedgerFailed, now.Add(time.Duration(i)*time.Millisecond)) {
-			passed++
+		if writer.allow(LedgerFailed, now.Add(time.Duration(i)*time.Millisecond)) {
+			allowed++
 		}
 	}
-	if passed != often {
-		t.Errorf("%d passed", passed)
+	if allowed != maxPerInterval {
+		t.Errorf("%d lines allowed", allowed)
 	}
-	if left := w.due(now.Add(500 * time.Millisecond)); len(left) > 0 {
-		t.Errorf("told too soon: %v", left)
+	if omitted := writer.endIntervals(now.Add(500 * time.Millisecond)); len(omitted) > 0 {
+		t.Errorf("omitted lines reported before the interval ended: %v", omitted)
 	}
-	if left := w.due(now.Add(pause)); left[LedgerFailed] != 100-often {
-		t.Errorf("left out: %v", left)
+	if omitted := writer.endIntervals(now.Add(samplingInterval)); omitted[LedgerFailed] != 100-maxPerInterval {
+		t.Errorf("omitted lines: %v", omitted)
 	}
-	if !w.passes(LedgerFailed, now.Add(pause)) {
-		t.Error("none passes in the next span")
+	if !writer.allow(LedgerFailed, now.Add(samplingInterval)) {
+		t.Error("no line is allowed in the next interval")
 	}
 }
