--- a/rules/connections.go
+++ b/rules/connections.go
@@ -6,30 +6,30 @@
 // keeps tells whether a connection is worth keeping: where this sender calls again soon. Some destinations
 // take few, and what many senders keep idle shuts out others: so if those of its kind refuse some, or
 // little is known of it, this sender must call often for the number of senders.
-func (s *Sender) keeps(rc *receiver) bool {
-	if s.now < rc.route.destination.surplusUntil {
+func (s *Sender) keepsIdleConnection(rc *receiver) bool {
+	if s.now < rc.route.destination.noReuseUntil {
 		return false
 	}
-	often := evenKeeping * float64(s.settings.Senders)
-	if !s.scarce(rc) {
-		often = min(often, keeping)
+	minCalls := keepIdleCallsPerSender * float64(s.settings.Senders)
+	if !s.connectionsScarce(rc) {
+		minCalls = min(minCalls, keepIdleCalls)
 	}
-	return rc.used.read(s.now, s.settings.IdleKept) >= often
+	return rc.recentCalls.read(s.now, s.settings.IdleKept) >= minCalls
 }
 
 // scarce tells whether destinations of a receiver's kind refuse connections, or may: little is known of them.
-func (s *Sender) scarce(rc *receiver) bool {
-	made := &rc.route.destination.kind.made
-	calls := made.calls.read(s.now, statisticsWindow)
-	return made.broke.read(s.now, statisticsWindow) > tooMany*(calls-fewCalls)
+func (s *Sender) connectionsScarce(rc *receiver) bool {
+	stats := &rc.route.destination.kind.connections
+	calls := stats.calls.read(s.now, statisticsWindow)
+	return stats.lost.read(s.now, statisticsWindow) > refusedConnectionShare*(calls-minCallsPerKind)
 }
 
 // distrustsIdle tells whether idle connections break more often by far than others: then something between
 // forgets them, and what goes out on one is lost, for good if it must not run twice.
-func (s *Sender) distrustsIdle() bool {
-	broke, calls := s.idle.broke.read(s.now, statisticsWindow), s.idle.calls.read(s.now, statisticsWindow)
-	others := s.busy.broke.read(s.now, statisticsWindow) / (1 + s.busy.calls.read(s.now, statisticsWindow))
-	return broke >= 1 && broke/calls > breaking+farWorse*others
+func (s *Sender) distrustsIdleConnections() bool {
+	lost, calls := s.idleConnections.lost.read(s.now, statisticsWindow), s.idleConnections.calls.read(s.now, statisticsWindow)
+	otherLossShare := s.busyConnections.lost.read(s.now, statisticsWindow) / (1 + s.busyConnections.calls.read(s.now, statisticsWindow))
+	return lost >= 1 && lost/calls > excessLossShare+idleLossFactor*otherLossShare
 }
 
 // A call for which no connection was free leaves when its connection has come up, up to the connect time-out
@@ -37,32 +37,32 @@
 
 // connectionsUp lets calls leave whose connections have come up, or takes them back. It comes after all other
 // events of the turn, so that an answer that was read together with the connection's coming up is known.
-func (s *Sender) connectionsUp(events []Event) {
+func (s *Sender) decideConnectedCalls(events []Event) {
 	for _, e := range events {
-		up, is := e.(ConnectionUp)
-		if !is {
+		up, ok := e.(ConnectionUp)
+		if !ok {
 			continue
 		}
-		if n := s.notices[up.Notice]; n != nil && n.out != nil && s.mayStillLeave(n) {
-			s.do(Write(up))
+		if n := s.notices[up.Notice]; n != nil && n.currentCall != nil && s.mayStillSend(n) {
+			s.emit(Write(up))
 		} else {
-			s.do(Recall(up))
+			s.emit(Recall(up))
 		}
 	}
 }
 
 // mayStillLeave tells whether a call that was decided on before may leave now.
-func (s *Sender) mayStillLeave(n *notice) bool {
-	c := n.out
+func (s *Sender) mayStillSend(n *notice) bool {
+	c := n.currentCall
 	r := c.receiver.route
 	switch {
-	case n.over || s.now >= s.lastCall(n):
+	case n.ended || s.now >= s.answerBy(n):
 		return false
-	case s.passesAt(n, c.receiver) > s.now:
+	case s.allowedAt(n, c.receiver) > s.now:
 		return false
 	case r.state == halfOpen && !c.trial:
 		return false
 	}
 	// Calls that were decided on before an outage showed would all leave at its end, however it is paced.
-	return !r.down || c.sentAt >= r.badAt
+	return !r.down || c.sentAt >= r.lastOutageSignAt
 }
--- a/rules/gate.go
+++ b/rules/gate.go
@@ -4,24 +4,24 @@
 
 // What every call has to pass: the six rules, the slots and the windows.
 
-func (s *Sender) routeOpensAt(r *route) Millis {
+func (s *Sender) routeAvailableAt(r *route) Millis {
 	if r.state == open {
-		return max(s.now, r.waitUntil, r.reopenAt)
+		return max(s.now, r.waitUntil, r.halfOpenAt)
 	}
 	return max(s.now, r.waitUntil)
 }
 
 // passesAt is the earliest time at which the six rules let a notice go to a receiver.
-func (s *Sender) passesAt(n *notice, rc *receiver) Millis {
+func (s *Sender) allowedAt(n *notice, rc *receiver) Millis {
 	r := rc.route
-	if rc.standing != Ready || !s.repeatSafe(n, rc) {
+	if rc.status != Ready || !s.repeatSafe(n, rc) {
 		return never
 	}
-	at := max(s.routeOpensAt(r), n.restUntil)
-	if k := s.keys[n.key]; k != nil {
-		at = max(at, k.restUntil)
+	at := max(s.routeAvailableAt(r), n.notBefore)
+	if queue := s.keys[n.key]; queue != nil {
+		at = max(at, queue.cooldownUntil)
 	}
-	if n.mayHaveRun && n.grade.Repeat == Numbered && at >= s.forgottenAt(n) {
+	if n.mayHaveRun && n.grade.Repeat == Numbered && at >= s.markUnsafeFrom(n) {
 		return never
 	}
 	return at
@@ -29,36 +29,36 @@
 
 // forgottenAt is from when on a numbered notice that may have run is not sent again: its mark must still be
 // known when the call is written, which may be a hold-up later.
-func (s *Sender) forgottenAt(n *notice) Millis {
-	return n.ranAt + n.grade.RemembersFor - s.settings.Stall
+func (s *Sender) markUnsafeFrom(n *notice) Millis {
+	return n.firstRunAt + n.grade.RemembersFor - s.settings.Stall
 }
 
 // gate is passed by every send, in every state: it keeps the rules and the slots.
-func (s *Sender) gate(n *notice, rc *receiver) bool {
-	if k := s.keys[n.key]; k != nil && k.line[0] != n || s.passesAt(n, rc) > s.now {
+func (s *Sender) maySend(n *notice, rc *receiver) bool {
+	if queue := s.keys[n.key]; queue != nil && queue.notices[0] != n || s.allowedAt(n, rc) > s.now {
 		return false
 	}
-	if s.joins(rc) != nil {
+	if s.joinableCall(rc) != nil {
 		return true
 	}
-	return s.paceAt(rc.route) <= s.now && s.roomFor(rc.route) && s.earn(rc, 0) >= 1
+	return s.nextCallAt(rc.route) <= s.now && s.hasSlotFor(rc.route) && s.addTokens(rc, 0) >= 1
 }
 
-func (s *Sender) roomFor(r *route) bool {
-	if s.slotsOut >= s.settings.Slots || s.shortUntil > s.now || r.state == open {
+func (s *Sender) hasSlotFor(r *route) bool {
+	if s.slotsInUse >= s.settings.Slots || s.shortageUntil > s.now || r.state == open {
 		return false
 	}
-	calls, sick, trials := 0, false, r.proved
+	calls, failing, trials := 0, false, r.succeededTrials
 	for _, o := range r.destination.routes {
-		calls += len(o.out)
-		sick = sick || s.sick(o)
+		calls += len(o.outstanding)
+		failing = failing || s.failing(o)
 	}
 	// Many that are sick at once must not hold every slot: what is well needs few, but now.
-	if s.doubtOut >= s.doubted && s.doubtful(r) {
+	if s.suspectSlots >= s.maxSuspectSlots && s.suspect(r) {
 		return false
 	}
 	if r.state == halfOpen {
-		for _, c := range r.out {
+		for _, c := range r.outstanding {
 			if c.trial {
 				trials++
 			}
@@ -68,11 +68,11 @@
 		}
 	}
 	share := 0.75
-	if sick {
+	if failing {
 		share = 0.5
 	}
-	most := max(math.Floor(share*float64(s.settings.Slots)), 1)
-	return float64(calls) < most && float64(len(r.out)) < math.Floor(min(r.window, most))
+	maxCalls := max(math.Floor(share*float64(s.settings.Slots)), 1)
+	return float64(calls) < maxCalls && float64(len(r.outstanding)) < math.Floor(min(r.delayWindow, maxCalls))
 }
 
 // repeatSafe keeps an effect from happening twice.
@@ -83,7 +83,7 @@
 	case n.grade.Repeat == AtMostOnce:
 		return false
 	case !n.zoneUnknown:
-		return rc.zone == n.ranZone
+		return rc.zone == n.runZone
 	}
 	return len(rc.route.destination.zones) == 1
 }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -441,7 +441,7 @@
 	}
 	state := func() {
 		r := t.sender.routes[0]
-		t.say("paused for under %.0f more, share %.2f, window %.1f", 125*math.Ceil(float64(r.waitUntil-t.now)/125), r.share, r.window)
+		t.say("paused for under %.0f more, share %.2f, window %.1f", 125*math.Ceil(float64(r.waitUntil-t.now)/125), r.limitShare, r.delayWindow)
 	}
 	state()
 	t.note("refused again behind the pause, with little of the limit left")
@@ -526,7 +526,7 @@
 		}
 		t.pass(50)
 	}
-	t.say("%d slots of %d are held", t.sender.slotsOut, settings.Slots)
+	t.say("%d slots of %d are held", t.sender.slotsInUse, settings.Slots)
 	t.quiet = false
 	t.note("the one that is well is served at once")
 	t.take(1, NoticeTaken{Destination: 0, Grade: 2})
@@ -563,7 +563,7 @@
 		t.calledOff = nil
 		t.pass(50)
 	}
-	t.say("%d slots of %d are held", t.sender.slotsOut, settings.Slots)
+	t.say("%d slots of %d are held", t.sender.slotsInUse, settings.Slots)
 }
 
 func TestSwallowedUnseen(tt *testing.T) {
--- a/rules/windows.go
+++ b/rules/windows.go
@@ -4,26 +4,26 @@
 
 // earn gives a receiver credits back: an answer what its send has spent, a success what a failed call has
 // spent besides. What stays lost comes back one a fall.
-func (s *Sender) earn(rc *receiver, credits float64) float64 {
-	credits += float64((s.now - rc.creditAt) / s.settings.Fall)
-	rc.credits, rc.creditAt = min(rc.credits+credits, s.credits), s.now
-	return rc.credits
+func (s *Sender) addTokens(rc *receiver, tokens float64) float64 {
+	tokens += float64((s.now - rc.tokensUpdatedAt) / s.settings.Fall)
+	rc.tokens, rc.tokensUpdatedAt = min(rc.tokens+tokens, s.maxTokens), s.now
+	return rc.tokens
 }
 
 // measure moves the delay window.
-func (s *Sender) measure(r *route, spent Millis) {
-	r.mean = r.delays.add(s.now, s.settings.Fall, spent)
-	s.usual = s.delays.add(s.now, s.settings.Fall, spent)
-	if r.best == 0 || r.mean < r.best {
-		r.best = r.mean
+func (s *Sender) updateDelayWindow(r *route, delay Millis) {
+	r.meanDelay = r.delays.add(s.now, s.settings.Fall, delay)
+	s.meanDelay = s.delays.add(s.now, s.settings.Fall, delay)
+	if r.bestDelay == 0 || r.meanDelay < r.bestDelay {
+		r.bestDelay = r.meanDelay
 	}
-	r.best += (r.mean - r.best) * bestDrift
+	r.bestDelay += (r.meanDelay - r.bestDelay) * bestDelayDrift
 	switch {
-	case r.mean <= nearBest*r.best && float64(len(r.out)+1) >= r.window/2:
-		r.window = min(r.window+1/r.window, float64(s.settings.Slots))
+	case r.meanDelay <= nearBestRatio*r.bestDelay && float64(len(r.outstanding)+1) >= r.delayWindow/2:
+		r.delayWindow = min(r.delayWindow+1/r.delayWindow, float64(s.settings.Slots))
 	case r.slow():
-		r.window = max(r.window*narrowing, 1)
+		r.delayWindow = max(r.delayWindow*windowDecrease, 1)
 	}
 }
 
-func (r *route) slow() bool { return r.mean > farBest*r.best }
+func (r *route) slow() bool { return r.meanDelay > slowRatio*r.bestDelay }
