--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,52 +1,92 @@
-// Package rules holds every decision of a sender. Make one with New, then call Decide whenever something
-// happened: it takes the time and the events and returns the actions, to be carried out in their order.
-// The interface (ids, Settings, events, actions) is in api.go; docs/design.md tells why things are so.
+// Package rules takes every decision of a sender: which notice is sent where and when, and when it ends
+// without delivery. It does no I/O and reads no clock. The caller creates a Sender with New, passes the time
+// and the events to Decide, and carries out the returned actions in their order. The interface (ids,
+// Settings, events and actions) is in api.go; docs/design.md gives the reasons for the rules.
 package rules
 
 import "math"
 
 const (
-	// The breaker's figures, from the design page.
+	// Parameters of the circuit breaker; see docs/design.md.
 	statisticsWindow              Millis = 30_000
 	resetTimeout                  Millis = 5_000
 	minimumCallsBeforeCalculation        = 10
 	failureThreshold                     = 5
 	halfOpenMaxCalls                     = 3
 
-	// The delay window's steps.
-	nearBestRatio  = 2.0  // a mean delay up to so many times the best counts as near it
-	slowRatio      = 4.0  // from here on it counts as slow
-	windowDecrease = 0.9  // what is left of the window after a slow answer
-	bestDelayDrift = 0.01 // how far each answer draws the best delay up to the mean
+	// nearBestRatio is the highest ratio of mean to best delay at which the delay window grows.
+	nearBestRatio = 2.0
+	// slowRatio is the ratio of mean to best delay above which a route counts as slow.
+	slowRatio = 4.0
+	// windowDecrease is the factor by which a slow response or a failure reduces the delay window.
+	windowDecrease = 0.9
+	// bestDelayDrift is the share of the difference to the mean by which each response raises the best delay.
+	bestDelayDrift = 0.01
+	// overdueDelays is the number of mean delays after which an outstanding call is overdue.
+	overdueDelays = 6.0
+	// silentTimeouts is the sum over the calls of a route of waiting time / overdueAfter at which the route
+	// counts as silent.
+	silentTimeouts = 6.0
+	// cancelAge is the multiple of the time after which a call is overdue, from which on it may be cancelled
+	// to free its slot.
+	cancelAge = 2.0
+	// tokenShare is the share of the slots that a receiver has as tokens.
+	tokenShare = 0.15
+	// deferralDiscount is the weight of the credit that a notice would still earn a quoted time later, which
+	// reduces its urgency.
+	deferralDiscount = 0.8
+	// suspectSlotShare is the share of the slots that all suspect routes may use together.
+	suspectSlotShare = 0.75
+	// nearlyFullShare is the share of the hold limit, or of the space, above which the notices with the
+	// lowest expected credit are dismissed.
+	nearlyFullShare = 0.9
+	// recoveryRateFactor is the share of its part of the recovery rate that each of many senders uses;
+	// docs/design.md explains why it may exceed 1.
+	recoveryRateFactor = 1.5
+	// fewSenders is the number of senders up to which each uses just its part of the recovery rate.
+	fewSenders = 4.0
+	// servedShareScale is how near the earned share of a grade's credit must be to the lowest one of all
+	// grades to weigh like that grade.
+	servedShareScale = 0.2
+	// confirmingOverloadTimes is the number of overload times (Settings.Fall) without a success after which
+	// an outage is confirmed.
+	confirmingOverloadTimes = 2.0
+	// burstShare is the share of an overload time for which unused calls under a limit may be caught up.
+	burstShare = 0.25
+	// limitShareDecrease is the factor by which a refusal reduces this sender's share of a limit, to no less
+	// than minLimitShare.
+	limitShareDecrease = 0.7
+	minLimitShare      = 1.0 / 16
+	// excessLossShare is the share of lost calls on idle connections, above idleLossFactor times the share
+	// on other connections, from which on idle connections are distrusted.
+	excessLossShare = 0.1
+	// ampleLimitRemaining is the share of a limit: a call that was refused with more of it left was not
+	// refused because of the limit.
+	ampleLimitRemaining = 0.5
+	// idleLossFactor multiplies the share of calls lost on other connections; see excessLossShare.
+	idleLossFactor = 3.0
+	// keepIdleCalls is the number of calls within Settings.IdleKept that make an idle connection worth
+	// keeping.
+	keepIdleCalls = 1.5
+	// keepIdleCallsPerSender is the same number for each sender of the deployment, where connections are
+	// scarce.
+	keepIdleCallsPerSender = 0.25
+	// refusedConnectionShare is the share of refused connections above which the connections to destinations
+	// of a kind are scarce.
+	refusedConnectionShare = 1.0 / 32
+	// minCallsPerKind is the number of calls to destinations of a kind up to which their connections always
+	// count as scarce.
+	minCallsPerKind = 8
 
-	overdueDelays           = 6.0  // a call out so many times the mean delay is overdue
-	silentTimeouts          = 6.0  // so many patiences owed by all calls together make a route silent
-	cancelAge               = 2.0  // a call out so many times as long as makes it overdue may be called off for its slot
-	tokenShare              = 0.15 // a receiver's credits, as a share of the slots
-	deferralDiscount        = 0.8  // how much of what a notice would still earn a quoted time later counts against haste
-	suspectSlotShare        = 0.75 // of the slots that all doubtful routes may hold together
-	nearlyFullShare         = 0.9  // of the hold limit: from here on the least promising make room
-	recoveryRateFactor      = 1.5  // of the return budget, among many: see docs/design.md on why it may be over one
-	fewSenders              = 4.0  // so few senders each use all of their part, and it may not be over one
-	servedShareScale        = 0.2  // how near a grade's served share must be to the worst to count with it
-	confirmingOverloadTimes = 2.0  // an outage is sure after so many falls without a success
-	burstShare              = 0.25 // of a fall: what was not sent under a limit for so long may be made up
-	limitShareDecrease      = 0.7  // what is left of this sender's share of a limit after a refusal, leastShare at least
-	minLimitShare           = 1.0 / 16
-	excessLossShare         = 0.1      // of the calls on idle connections lost, beyond what others lose, is suspect
-	ampleLimitRemaining     = 0.5      // of a limit: a call refused with more left was not refused for the limit
-	idleLossFactor          = 3.0      // so many times what is lost on others
-	keepIdleCalls           = 1.5      // calls while an idle connection would last, that make it worth keeping
-	keepIdleCallsPerSender  = 0.25     // the same, for each sender, where connections are refused
-	refusedConnectionShare  = 1.0 / 32 // of the calls to a kind: more refused connections are too many
-	minCallsPerKind         = 8        // too little to know a kind by
-
-	servedRateKnownAfter Millis = statisticsWindow / 3 // a route's usual rate is known
+	// servedRateKnownAfter is the age of a route from which on its usual rate of handled calls is known.
+	servedRateKnownAfter Millis = statisticsWindow / 3
 
+	// never is a time that does not come.
 	never = Millis(math.MaxFloat64)
 )
 
-// New starts a sender that knows only its settings and its seed.
+// New returns a sender with these settings and no notices or receivers. The seed determines its random
+// choices.
 func New(seed uint64, settings Settings) *Sender {
 	s := newSender(seed, settings)
 	s.maxTokens = max(math.Ceil(tokenShare*float64(settings.Slots)), 2)
@@ -57,7 +97,8 @@
 	return s
 }
 
-// Decide takes what happened and returns what is to be done.
+// Decide processes the events up to now and returns the actions to carry out, in this order. Such a call is
+// one turn.
 func (s *Sender) Decide(now Millis, events []Event) []Action {
 	s.now, s.actions, s.newCalls, s.turnNumber = now, nil, nil, s.turnNumber+1
 	for _, e := range events {
@@ -103,6 +144,7 @@
 
 func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
+// updateList applies entries of the receiver list. Receivers that are missing from a whole list are gone.
 func (s *Sender) updateList(e ListTold) {
 	if e.Whole {
 		for _, rc := range s.receivers {
--- a/rules/state.go
+++ b/rules/state.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// What a sender remembers, the two tools that it keeps it with, and what the settings make a notice worth. Nothing
-// is decided here.
+// This file holds the state of a sender and the structures that keep it. It takes no decisions.
 
+// breakerState is the state of a route's circuit breaker.
 type breakerState string
 
 const (
@@ -17,7 +17,7 @@
 	halfOpen breakerState = "half-open"
 )
 
-// sum is a decaying sum, brought up to date when it is read.
+// decayingSum is an exponentially decaying sum. The decay since the last access is applied when it is read.
 type decayingSum struct {
 	value     float64
 	updatedAt Millis
@@ -33,47 +33,49 @@
 	d.value = d.read(now, timeConstant) + x
 }
 
-// delays is how long answers take, the older the less each counts.
+// decayingMean is a mean of delays in which older samples weigh exponentially less.
 type decayingMean struct{ total, count decayingSum }
 
-// add counts one more and returns the mean.
+// add adds a sample and returns the mean.
 func (d *decayingMean) add(now, timeConstant, delay Millis) Millis {
 	d.total.add(now, timeConstant, float64(delay))
 	d.count.add(now, timeConstant, 1)
 	return Millis(d.total.value / d.count.value)
 }
 
+// callOutcome is one entry of the breaker's sliding window.
 type callOutcome struct {
 	recordedAt Millis
 	failed     bool
 }
 
-// call is one trip to a receiver, with all the notices that travel on it.
+// call is one HTTP request to a receiver, which may carry several notices.
 type call struct {
 	receiver                   *receiver
-	sentAt, overdueAfter       Millis // patience: when out for so long, it is overdue
+	sentAt, overdueAfter       Millis // the call is overdue when it has been out for overdueAfter
 	notices                    []*notice
-	pendingOutcomes            int // riders without an outcome yet
+	pendingOutcomes            int // notices without an outcome yet
 	recorded, trial, cancelled bool
-	onIdleConnection           bool // went out on a connection that may have been idle
-	timeoutShortened           bool // its time-out was cut short by the client timeout
+	onIdleConnection           bool // the call was sent on a connection that may have been idle
+	timeoutShortened           bool // the client timeout shortened the timeout of the call
 }
 
+// receiver is one endpoint of a destination.
 type receiver struct {
 	id              ReceiverID
 	route           *route
 	zone            ZoneID
 	status          Standing
-	fee             float64
-	tokens          float64
+	fee             float64 // of a call to its zone
+	tokens          float64 // a call takes one; responses and time refill them
 	tokensUpdatedAt Millis
 	lastResponseAt  Millis
-	recentCalls     decayingSum             // calls
-	tieBreak        float64                 // drawn once: which of equal receivers this sender prefers
-	failuresByGrade map[*grade]*decayingSum // failures of a service grade here since its last success
+	recentCalls     decayingSum
+	tieBreak        float64                 // drawn once: this sender's preference among equal receivers
+	failuresByGrade map[*grade]*decayingSum // failures of a grade here since its last success
 }
 
-// failed is what trips of a grade have failed here since its last success.
+// gradeFailures returns the failed trips of a grade to this receiver since its last success.
 func (rc *receiver) gradeFailures(g *grade) *decayingSum {
 	if rc.failuresByGrade[g] == nil {
 		rc.failuresByGrade[g] = &decayingSum{}
@@ -81,8 +83,8 @@
 	return rc.failuresByGrade[g]
 }
 
-// route is what has a breaker, a delay window, a wait and a pace of its own: a destination, or where a
-// destination's receivers are separate routes, one of these.
+// route is the unit that has its own breaker, delay window, wait and pace. It is a whole destination, or a
+// single receiver where the receivers of a destination are separate routes.
 type route struct {
 	id          ReceiverID // of its first receiver
 	destination *destination
@@ -92,91 +94,113 @@
 	state                                breakerState
 	outcomes                             slidingWindow
 	halfOpenAt                           Millis
-	succeededTrials, consecutiveFailures int     // trials succeeded; failures since the last success
-	overdueTotal                         float64 // how overdue its calls are together, in patiences
+	succeededTrials, consecutiveFailures int
+	overdueTotal                         float64 // sum over its calls of waiting time / overdueAfter
 	delays                               decayingMean
 	meanDelay, bestDelay, lastResponseAt Millis
 	delayWindow                          float64
 	waitUntil, backoff                   Millis
-	requestedWaitUntil                   Millis  // until when it has told to wait: no more than waitUntil
-	limitRate, limitRemaining            float64 // as told, a millisecond, and the share that is left
-	listedRate                           float64 // as listed, a millisecond
-	limitShare                           float64 // of the limit, that this sender may use
-	lastReducedAt                        Millis
-	recentHandled, recentFailed          decayingSum
-	handledCalls                         decayingSum // calls handled, over the statistics window
-	maxRateBeforeOutage                  float64     // a millisecond, as the present or last outage began, and no less than it may have been
-	outageSince, lastOutageSignAt        Millis      // first and last sign of an outage with no success of a later call
-	recoveredAt, outageDuration          Millis      // the end of the last outage, as far as seen, and its length
-	pacingStart                          Millis
-	down, outageConfirmed                bool    // an outage is sure and goes on
-	pacingPhase                          float64 // part of the span between calls until the next one
-	lastListedAt, createdAt              Millis  // when it had a receiver last, and its first
-	creationOrder                        uint64  // of its making
-	active, removed                      bool    // stirs: it is among those with something to look after
-}
-
+	// requestedWaitUntil is the end of the wait that the receivers requested. It is never after waitUntil.
+	requestedWaitUntil Millis
+	// limitRate is the limit that the receivers reported, in calls per millisecond, and limitRemaining the
+	// share of it that is left.
+	limitRate, limitRemaining float64
+	// listedRate is the rate in the receiver list, in calls per millisecond.
+	listedRate                  float64
+	limitShare                  float64 // share of the limit that this sender may use
+	lastReducedAt               Millis  // when limitShare or delayWindow was last reduced after a refusal
+	recentHandled, recentFailed decayingSum
+	handledCalls                decayingSum // over the statistics window
+	// maxRateBeforeOutage is an upper bound of the rate, in calls per millisecond, at which the route
+	// handled calls when the present or the last outage began.
+	maxRateBeforeOutage float64
+	// outageSince and lastOutageSignAt are the first and the last sign of an outage since the last success
+	// of a call that was sent after such a sign.
+	outageSince, lastOutageSignAt Millis
+	// recoveredAt is the end of the last outage, as far as this sender saw it, and outageDuration its length.
+	recoveredAt, outageDuration Millis
+	pacingStart                 Millis
+	down, outageConfirmed       bool    // down may be set on a suspicion; outageConfirmed implies down
+	pacingPhase                 float64 // share of the interval between calls to wait from pacingStart
+	lastListedAt, createdAt     Millis  // lastListedAt: when it last had a receiver
+	creationOrder               uint64
+	active, removed             bool // active: the route is in Sender.active
+}
+
+// destination is a destination with its routes and the notices that wait for it.
 type destination struct {
-	id           DestinationID
-	kind         *kind
-	heldNotices  int      // notices of its own that are not over
-	noReuseUntil Millis   // its receivers sent more than they were asked for: until then no connection is used again
-	zones        []ZoneID // in which receivers of it were ever listed
-
-	waiting      []*notice // held and not out, in no order
-	unrestricted byExpiry  // of these, those that no earlier trip, rest or key holds back: the first to end in front
-	restricted   []*notice // and the others
-	waitingIndex int       // among the destinations that have some waiting
-
-	fullInTurn             uint64 // the turn in which it takes no more
-	examinedInTurn         uint64 // the turn in which the rest was found out
-	availableAt            Millis
-	unrestrictedSendableAt Millis // opensAt of its plain notices
+	id          DestinationID
+	kind        *kind
+	heldNotices int // its notices that have not ended
+	// noReuseUntil is until when no connection is reused, because a receiver sent unsolicited bytes.
+	noReuseUntil Millis
+	zones        []ZoneID // in which its receivers were ever listed
+
+	waiting []*notice // held notices without a call, in no order
+	// unrestricted is the heap of the waiting notices that neither an earlier trip, a cooldown nor a key
+	// delays. The first to expire is at the front.
+	unrestricted byExpiry
+	restricted   []*notice // the other waiting notices
+	waitingIndex int       // in Sender.waitingDestinations
+
+	fullInTurn     uint64 // the turn in which it was found to accept no more
+	examinedInTurn uint64 // the turn in which the fields below were computed
+	availableAt    Millis
+	// unrestrictedSendableAt is when the notices in unrestricted may be sent at the earliest.
+	unrestrictedSendableAt Millis
 	listed, accepting      bool
 	routes                 []*route
 }
 
-// keyLine holds the notices of one key in the order in which they were taken.
+// keyQueue holds the notices of one key in the order in which they were accepted.
 type keyQueue struct {
 	notices       []*notice
 	cooldownUntil Millis
 }
 
-// grade is a service grade with the credit that its notices asked for and earned, and its weight.
+// grade is a service grade with the credit that its ended notices could have earned, the credit that they
+// earned, and its weight.
 type grade struct {
 	Grade
 	requestedCredit, earnedCredit decayingSum
 	weight                        float64
 }
 
+// notice is a notice that this sender holds, or that ended while its call was out.
 type notice struct {
 	id                                NoticeID
 	grade                             *grade
 	destination                       *destination
 	key                               KeyID
 	credit, urgency, spaceShare       float64
-	quotedUntil, expiresAt, notBefore Millis
-	surelyInTimeUntil                 Millis // what is heard by then came before until, however late the notice was read
-	trips, possibleRuns               int    // and those that may have run
-	currentCall                       *call
-	mayHaveRun, zoneUnknown           bool
-	firstRunAt                        Millis // the first trip that may have run
-	runZone                           ZoneID
-	ended                             bool
-	unconfirmed                       bool   // the outcome of its last trip may be doubted yet
-	unconfirmedUntil                  Millis // its last trip may turn out to have run
-	sendableAt                        Millis // as found out in this turn
-	acceptOrder                       uint64 // in which it was taken
-	waiting, unrestricted             bool   // it is in its destination's lists
-	waitingIndex, listIndex           int    // where there: in waiting, and in plain or special
-}
-
-// byUntil is a heap of notices by their client timeout.
+	quotedUntil, expiresAt, notBefore Millis // expiresAt is the client timeout
+	// surelyInTimeUntil is the latest time at which an outcome that is read certainly came before expiresAt,
+	// however long the notice itself waited to be read.
+	surelyInTimeUntil     Millis
+	trips, possibleRuns   int // possibleRuns counts the trips that may have run
+	currentCall           *call
+	mayHaveRun            bool // a trip of this notice may have run
+	zoneUnknown           bool // the zone of that trip is not known
+	firstRunAt            Millis
+	runZone               ZoneID
+	ended                 bool
+	unconfirmed           bool   // the outcome of its last trip may yet be retracted
+	unconfirmedUntil      Millis // until then the last trip may turn out to have run
+	sendableAt            Millis // as computed in this turn
+	acceptOrder           uint64
+	waiting, unrestricted bool // waiting: the notice is in the lists of its destination
+	// waitingIndex is the index in destination.waiting, and listIndex the one in destination.unrestricted or
+	// destination.restricted.
+	waitingIndex, listIndex int
+}
+
+// byExpiry is a heap of notices ordered by their client timeout.
 type byExpiry []*notice
 
 func (h byExpiry) Len() int { return len(h) }
 func (h byExpiry) Less(i, j int) bool {
-	return h[i].expiresAt < h[j].expiresAt || h[i].expiresAt == h[j].expiresAt && h[i].acceptOrder < h[j].acceptOrder
+	return h[i].expiresAt < h[j].expiresAt ||
+		h[i].expiresAt == h[j].expiresAt && h[i].acceptOrder < h[j].acceptOrder
 }
 func (h byExpiry) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].listIndex, h[j].listIndex = i, j }
 func (h *byExpiry) Push(x any)   { n := x.(*notice); n.listIndex = len(*h); *h = append(*h, n) }
@@ -188,55 +212,55 @@
 	return n
 }
 
-// connections counts calls, and those that broke or were swallowed.
+// connectionStats counts calls and those of them that were lost. recordConnection tells what counts as lost.
 type connectionStats struct{ calls, lost decayingSum }
 
-// kind is a kind of destination with the calls made to it, and those that found no connection.
+// kind is a kind of destination with statistics of the calls to all destinations of this kind.
 type kind struct {
 	Kind
-	connections          connectionStats
-	waitTotal, waitCount decayingSum
+	connections          connectionStats // lost: refused connections only
+	waitTotal, waitCount decayingSum     // of requested waits
 }
 
-// Sender decides for one sender.
+// Sender holds the state of one sender and takes its decisions.
 type Sender struct {
 	settings                            Settings
 	randomState                         uint64
 	now                                 Millis
-	turnNumber                          uint64
+	turnNumber                          uint64 // of the present call of Decide
 	actions                             []Action
 	notices                             map[NoticeID]*notice
-	heldCount                           int            // notices that are not over
-	usedSpace                           float64        // by them, of the room at this sender
-	acceptedCount                       uint64         // notices so far
-	waitingDestinations                 []*destination // with notices that wait
-	active                              []*route       // with calls out or a breaker that is not closed, by order
+	heldCount                           int     // notices that have not ended
+	usedSpace                           float64 // share of this sender's space that they take
+	acceptedCount                       uint64
+	waitingDestinations                 []*destination // those with waiting notices
+	active                              []*route       // see activeRoutes
 	routesCreated                       uint64
 	destinations                        map[DestinationID]*destination
 	routes                              []*route
 	receivers                           map[ReceiverID]*receiver
 	keys                                map[KeyID]*keyQueue
-	unconfirmed                         map[NoticeID]*notice // over, and still in the lines of their keys
+	unconfirmed                         map[NoticeID]*notice // ended notices still in their key's queue
 	portfolioNotices                    []decayingSum
 	kinds                               []*kind
 	grades                              []*grade
-	maxTokens                           float64 // of a receiver, at most
+	maxTokens                           float64 // of a receiver
 	slotsInUse                          int
 	delays                              decayingMean
-	meanDelay                           Millis      // mean delay of all recent answers
-	maxSuspectSlots                     int         // slots that all doubtful routes may hold together
-	suspectSlots                        int         // calls out at routes that were doubtful as the turn began, and those sent to such since
-	shortageUntil                       Millis      // nothing is sent, for a shortage of this sender's own
-	shortagePause                       Millis      // the last such pause
-	newCalls                            []*call     // calls begun in this turn
-	furtherTrips, succeededFurtherTrips decayingSum // further trips and those that succeeded
+	meanDelay                           Millis  // of recent responses from all receivers
+	maxSuspectSlots                     int     // slots that all suspect routes may use together
+	suspectSlots                        int     // slots in use at routes that were suspect when counted
+	shortageUntil                       Millis  // until then nothing is sent, because of a local shortage
+	shortagePause                       Millis  // length of the last such pause
+	newCalls                            []*call // begun in this turn
+	furtherTrips, succeededFurtherTrips decayingSum
 	idleConnections, busyConnections    connectionStats
 	timerAt                             Millis
 	watchListAt                         Millis
 	cleanUpAt                           Millis
 }
 
-// remember makes a sender with an empty memory.
+// newSender returns a sender with empty state.
 func newSender(seed uint64, settings Settings) *Sender {
 	s := &Sender{
 		settings:         settings,
@@ -259,7 +283,7 @@
 	return s
 }
 
-// random is a permuted congruential generator's next number, from 0 to below 1.
+// random returns the next number of a permuted congruential generator, at least 0 and below 1.
 func (s *Sender) random() float64 {
 	old := s.randomState
 	s.randomState = old*6364136223846793005 + 1442695040888963407
@@ -268,7 +292,7 @@
 	return float64(x>>r|x<<(-r&31)) / (1 << 32)
 }
 
-// destination is what is remembered of a destination, from the first mention on.
+// destination returns the state of a destination, which is created at the first mention of its id.
 func (s *Sender) destination(id DestinationID) *destination {
 	d := s.destinations[id]
 	if d == nil {
@@ -278,7 +302,7 @@
 	return d
 }
 
-// place makes room for a new receiver: a route of its own, or a place on its destination's.
+// addReceiver creates a receiver, with a route of its own or on the route of its destination.
 func (s *Sender) addReceiver(entry Entry, initialWindow float64) *receiver {
 	d := s.destination(entry.Destination)
 	if int(entry.Kind) < len(s.kinds) {
@@ -286,13 +310,14 @@
 	}
 	if len(d.routes) == 0 || d.kind.Apart {
 		s.routesCreated++
-		created := &route{id: entry.Receiver, destination: d, state: closed, delayWindow: initialWindow, limitShare: 1,
-			outageSince: never, recoveredAt: -never, creationOrder: s.routesCreated, createdAt: s.now}
+		created := &route{id: entry.Receiver, destination: d, state: closed, delayWindow: initialWindow,
+			limitShare: 1, outageSince: never, recoveredAt: -never,
+			creationOrder: s.routesCreated, createdAt: s.now}
 		d.routes = append(d.routes, created)
 		s.routes = append(s.routes, created)
 	}
-	rc := &receiver{id: entry.Receiver, zone: entry.Zone, tokens: s.maxTokens, tokensUpdatedAt: s.now, tieBreak: s.random(),
-		failuresByGrade: map[*grade]*decayingSum{}}
+	rc := &receiver{id: entry.Receiver, zone: entry.Zone, tokens: s.maxTokens, tokensUpdatedAt: s.now,
+		tieBreak: s.random(), failuresByGrade: map[*grade]*decayingSum{}}
 	if d.kind.Apart && int(entry.Zone) < len(s.settings.ZoneFees) {
 		rc.fee = s.settings.ZoneFees[entry.Zone]
 	}
@@ -305,7 +330,7 @@
 	return rc
 }
 
-// hold begins to remember a notice.
+// holdNotice adds an accepted notice to the hold.
 func (s *Sender) holdNotice(n *notice) {
 	s.acceptedCount++
 	n.acceptOrder = s.acceptedCount
@@ -316,7 +341,7 @@
 	s.enqueue(n)
 }
 
-// wait puts a notice that has no trip out among those that wait for its destination.
+// enqueue adds a notice without a call to the waiting notices of its destination.
 func (s *Sender) enqueue(n *notice) {
 	d := n.destination
 	if len(d.waiting) == 0 {
@@ -328,10 +353,11 @@
 	s.addToList(n)
 }
 
-// sort puts a waiting notice among the plain or the special ones.
+// addToList adds a waiting notice to the unrestricted or the restricted notices of its destination.
 func (s *Sender) addToList(n *notice) {
 	d := n.destination
-	if n.unrestricted = n.key == 0 && !n.mayHaveRun && n.notBefore <= s.now && n.trips < s.settings.TripLimit; n.unrestricted {
+	if n.unrestricted = n.key == 0 && !n.mayHaveRun &&
+		n.notBefore <= s.now && n.trips < s.settings.TripLimit; n.unrestricted {
 		heap.Push(&d.unrestricted, n)
 		return
 	}
@@ -339,7 +365,7 @@
 	d.restricted = append(d.restricted, n)
 }
 
-// leave takes a notice away from those that wait.
+// dequeue removes a notice from the waiting notices of its destination.
 func (s *Sender) dequeue(n *notice) {
 	if !n.waiting {
 		return
@@ -357,10 +383,11 @@
 	}
 }
 
+// removeFromList is the reverse of addToList.
 func (s *Sender) removeFromList(n *notice) {
 	d := n.destination
 	switch {
-	case n.listIndex < 0: // nextPlain has taken it out
+	case n.listIndex < 0: // popUnrestricted has removed it
 	case n.unrestricted:
 		heap.Remove(&d.unrestricted, n.listIndex)
 	default:
@@ -371,7 +398,7 @@
 	n.listIndex = -1
 }
 
-// trim drops the last of a list, and the list with its last.
+// dropLast removes the last element of a list. It returns nil for an empty list, so that its memory is freed.
 func dropLast[T any](list []*T) []*T {
 	list[len(list)-1] = nil
 	if len(list) == 1 {
@@ -380,17 +407,18 @@
 	return list[:len(list)-1]
 }
 
-// nextPlain takes out the plain notice that ends first.
+// popUnrestricted removes and returns the unrestricted notice that expires first.
 func (d *destination) popUnrestricted() *notice {
 	n := heap.Pop(&d.unrestricted).(*notice)
 	n.listIndex = -1
 	return n
 }
 
-// rested moves notices whose rest is over among the plain ones.
+// moveToUnrestricted moves the restricted notices that may now be sent at any time to the unrestricted ones.
 func (s *Sender) moveToUnrestricted(d *destination) {
 	for i := 0; i < len(d.restricted); i++ {
-		if n := d.restricted[i]; n.key == 0 && !n.mayHaveRun && n.notBefore <= s.now && n.trips < s.settings.TripLimit {
+		if n := d.restricted[i]; n.key == 0 && !n.mayHaveRun &&
+			n.notBefore <= s.now && n.trips < s.settings.TripLimit {
 			s.removeFromList(n)
 			s.addToList(n)
 			i--
@@ -398,17 +426,20 @@
 	}
 }
 
-// stir notes that a route has something to look after each turn.
+// activate adds a route to those that are visited in each turn.
 func (s *Sender) activate(r *route) {
 	if r.active {
 		return
 	}
 	r.active = true
-	at, _ := slices.BinarySearchFunc(s.active, r, func(a, b *route) int { return int(a.creationOrder) - int(b.creationOrder) })
+	at, _ := slices.BinarySearchFunc(s.active, r, func(a, b *route) int {
+		return int(a.creationOrder) - int(b.creationOrder)
+	})
 	s.active = slices.Insert(s.active, at, r)
 }
 
-// stirring is the routes with calls out or a breaker that is not closed, in the order of their making.
+// activeRoutes returns the routes that have outstanding calls or a breaker that is not closed, in the order
+// of their creation. It drops the others from Sender.active.
 func (s *Sender) activeRoutes() []*route {
 	s.active = slices.DeleteFunc(s.active, func(r *route) bool {
 		r.active = !r.removed && (r.state != closed || len(r.outstanding) > 0)
@@ -420,13 +451,14 @@
 	return s.active
 }
 
-// forget lets go of a notice that is over; while its trip is out, it keeps its place in the key's line.
+// releaseNotice ends a notice and frees what it takes. While its call is out, the notice keeps its place in
+// the queue of its key.
 func (s *Sender) releaseNotice(n *notice) {
 	if !n.ended {
 		n.ended = true
 		s.heldCount--
 		if s.usedSpace -= n.spaceShare; s.heldCount == 0 {
-			s.usedSpace = 0 // what rounding left
+			s.usedSpace = 0 // drops rounding errors
 		}
 	}
 	if n.currentCall != nil {
@@ -439,7 +471,8 @@
 	s.leaveKeyQueue(n)
 }
 
-// leaveLine lets the next notice of a key go, once what the last trip of this one came to is sure.
+// leaveKeyQueue removes an ended notice from the queue of its key, which lets the next one be sent. While the
+// outcome of its last trip is unconfirmed, the notice stays in the queue.
 func (s *Sender) leaveKeyQueue(n *notice) {
 	queue := s.keys[n.key]
 	if queue == nil {
@@ -456,16 +489,18 @@
 	}
 }
 
-// release forgets a destination of which nothing is listed or held.
+// releaseDestination deletes a destination that has neither routes nor held notices.
 func (s *Sender) releaseDestination(d *destination) {
 	if d.heldNotices == 0 && len(d.routes) == 0 {
 		delete(s.destinations, d.id)
 	}
 }
 
-// tidy forgets what is gone, so that a sender that runs for long holds no more than one just started: receivers
-// without a call out, keys without notices or a rest, and routes that had no receiver while the breaker's window
-// passed. A destination's last route outlives a change of all its receivers.
+// cleanUp deletes state that is no longer needed, so that the memory of a long-running sender does not grow:
+// receivers that are gone from the list and have no outstanding call, keys without notices or a cooldown, and
+// routes without receivers. The last route of a destination is kept while the destination has held notices, a
+// wait, or had a receiver within the breaker's statistics window: so the state of its breaker survives when
+// all its receivers are replaced.
 func (s *Sender) cleanUp() {
 	if s.now < s.cleanUpAt {
 		return
@@ -473,7 +508,8 @@
 	s.cleanUpAt = s.now + s.settings.Fall
 	s.routes = slices.DeleteFunc(s.routes, func(r *route) bool {
 		r.receivers = slices.DeleteFunc(r.receivers, func(rc *receiver) bool {
-			if rc.status != Gone || s.now < rc.route.requestedWaitUntil || slices.ContainsFunc(r.outstanding, func(c *call) bool { return c.receiver == rc }) {
+			if rc.status != Gone || s.now < rc.route.requestedWaitUntil ||
+				slices.ContainsFunc(r.outstanding, func(c *call) bool { return c.receiver == rc }) {
 				return false
 			}
 			delete(s.receivers, rc.id)
@@ -484,7 +520,8 @@
 		case len(r.receivers) > 0:
 			r.lastListedAt = s.now
 			return false
-		case len(d.routes) == 1 && (d.heldNotices > 0 || s.now < max(r.lastListedAt+statisticsWindow, r.waitUntil)):
+		case len(d.routes) == 1 &&
+			(d.heldNotices > 0 || s.now < max(r.lastListedAt+statisticsWindow, r.waitUntil)):
 			return false
 		}
 		d.routes = slices.DeleteFunc(d.routes, func(o *route) bool { return o == r })
@@ -499,7 +536,7 @@
 	}
 }
 
-// worth is the credit that a notice earns when it is handled at a time.
+// creditAt returns the credit that a notice earns if it is handled at a given time.
 func (s *Sender) creditAt(n *notice, at Millis) float64 {
 	switch lateness := float64((at - n.quotedUntil) / (n.expiresAt - n.quotedUntil)); {
 	case at >= n.expiresAt:
@@ -514,7 +551,7 @@
 	}
 }
 
-// window is the outcomes of a sliding window, oldest first.
+// slidingWindow holds the call outcomes that the breaker counts, oldest first.
 type slidingWindow struct {
 	outcomes []callOutcome
 	failures int
@@ -527,7 +564,7 @@
 	}
 }
 
-// tally counts the outcomes since a time, and forgets those before.
+// countSince returns the number of calls and of failures since a time, and drops older outcomes.
 func (w *slidingWindow) countSince(since Millis) (calls, failures int) {
 	expired := 0
 	for expired < len(w.outcomes) && w.outcomes[expired].recordedAt < since {
