--- a/rules/breaker.go
+++ b/rules/breaker.go
@@ -5,30 +5,36 @@
 	"math"
 )
 
-// The breaker of a route, and the signs of an outage that come before it opens.
+// This file holds the circuit breaker of a route, and the detection of outages before the breaker opens.
 
+// failing reports whether a route is losing calls or down.
 func (s *Sender) failing(r *route) bool { return r.losingCalls() || r.down }
 
-// losesCalls tells whether a call to a route may be lost, as others failed, are overdue or take long. Where
-// calls are only refused none is lost.
+// losingCalls reports whether a further call to a route may be lost, because others failed, are overdue or
+// take long. A route that only refuses calls loses none.
 func (r *route) losingCalls() bool {
 	return r.state != closed || r.consecutiveFailures > 0 || r.overdueTotal > 1 || r.slow()
 }
 
-// doubtful tells whether a route is sick, or may be, as far as its slots go: with a call out it has answered
-// nothing yet, or nothing since its oldest call became overdue.
+// suspect reports whether a route is failing, or may be: it has outstanding calls, and has either never sent
+// a response, or sent none for the time in which its oldest call became overdue. Suspect routes share a part
+// of the slots.
 func (s *Sender) suspect(r *route) bool {
 	return s.failing(r) || len(r.outstanding) > 0 && (r.meanDelay == 0 ||
-		s.now-max(r.outstanding[0].sentAt, r.lastResponseAt) > max(overdueDelays*r.meanDelay, s.settings.Fall/32))
+		s.now-max(r.outstanding[0].sentAt, r.lastResponseAt) >
+			max(overdueDelays*r.meanDelay, s.settings.Fall/32))
 }
 
-// again tells whether a call left after the first sign of an outage, with nothing handled for two falls: of
-// what hundreds share, one sender hardly sees more.
+// confirmsOutage reports whether the failure of a call confirms an outage: the call was sent after the first
+// sign, and nothing was handled for two overload times. Where hundreds of senders share a destination, one
+// sender makes too few calls to wait for stronger evidence.
 func (s *Sender) confirmsOutage(r *route, c *call) bool {
-	return c.sentAt >= r.outageSince && r.recentHandled.read(s.now, s.settings.Fall) < math.Exp(-confirmingOverloadTimes)
+	return c.sentAt >= r.outageSince &&
+		r.recentHandled.read(s.now, s.settings.Fall) < math.Exp(-confirmingOverloadTimes)
 }
 
-// sign notes a sign of an outage, from which on the route counts as down or not.
+// noteOutageSign records a sign of an outage. The arguments tell whether the route counts as down from now
+// on, and whether the outage is confirmed; an outage that lasts long enough is confirmed in any case.
 func (s *Sender) noteOutageSign(r *route, down, confirmed bool) {
 	if r.outageSince == never || r.waitUntil > s.now {
 		r.pacingPhase, r.pacingStart = s.random(), max(s.now, r.waitUntil)
@@ -38,24 +44,28 @@
 	}
 	r.outageSince = min(r.outageSince, s.now)
 	r.lastOutageSignAt = max(s.now, r.waitUntil)
-	r.outageConfirmed = r.outageConfirmed || confirmed || s.now-r.outageSince >= confirmingOverloadTimes*s.settings.Fall
+	r.outageConfirmed = r.outageConfirmed || confirmed ||
+		s.now-r.outageSince >= confirmingOverloadTimes*s.settings.Fall
 	r.down = r.down || r.outageConfirmed || down
 }
 
-// record feeds the sliding window and opens the breaker. A quiet destination may never fill its window:
-// there the pace of an outage holds calls back.
+// recordOutcome adds an outcome to the sliding window and opens the breaker when too many calls failed. A
+// destination with little traffic may never reach the minimum number of calls: there only the pacing during
+// an outage limits the calls.
 func (s *Sender) recordOutcome(r *route, failed bool) {
 	r.outcomes.add(callOutcome{s.now, failed})
 	calls, failures := r.outcomes.countSince(s.now - statisticsWindow)
 	if r.state != closed || !failed {
 		return
 	}
-	thresholdReached := failures >= failureThreshold && (calls < 2*minimumCallsBeforeCalculation || 2*failures >= calls)
+	thresholdReached := failures >= failureThreshold &&
+		(calls < 2*minimumCallsBeforeCalculation || 2*failures >= calls)
 	if thresholdReached && calls >= minimumCallsBeforeCalculation {
 		s.openBreaker(r, fmt.Sprintf("%d of %d calls failed", failures, calls))
 	}
 }
 
+// openBreaker opens the breaker for the reset time and halves the delay window.
 func (s *Sender) openBreaker(r *route, why string) {
 	r.halfOpenAt = s.now + resetTimeout
 	r.delayWindow = max(r.delayWindow/2, 1)
@@ -63,6 +73,7 @@
 	s.setBreakerState(r, open, why)
 }
 
+// setBreakerState changes the state of the breaker and reports it, with the reason.
 func (s *Sender) setBreakerState(r *route, state breakerState, why string) {
 	r.state, r.succeededTrials = state, 0
 	s.activate(r)
@@ -72,8 +83,9 @@
 	s.emit(Turned{r.destination.id, r.id, string(state), why})
 }
 
-// stepBreakers lets reset times run out, and notices silence before calls time out, by all that a route owes:
-// the spans for which its calls wait without any answer from it, added up, against its mean delay.
+// updateBreakers ends reset times, and opens the breaker of a silent route before its calls time out: it adds
+// up how long each call has waited without any response from the route, relative to the time after which the
+// call is overdue.
 func (s *Sender) updateBreakers() {
 	s.suspectSlots = 0
 	for _, r := range s.activeRoutes() {
--- a/rules/connections.go
+++ b/rules/connections.go
@@ -1,11 +1,12 @@
 package rules
 
-// Which idle connections are worth keeping, and which calls may still leave when their connections have
-// come up.
+// This file decides which idle connections are kept, and which calls may still be sent when their connections
+// are established.
 
-// keeps tells whether a connection is worth keeping: where this sender calls again soon. Some destinations
-// take few, and what many senders keep idle shuts out others: so if those of its kind refuse some, or
-// little is known of it, this sender must call often for the number of senders.
+// keepsIdleConnection reports whether an idle connection to a receiver is kept, because this sender will
+// probably call again soon. Some destinations accept few connections, and the idle ones of many senders shut
+// out others. So where destinations of this kind refuse connections, or little is known of them, the required
+// number of calls grows with the number of senders.
 func (s *Sender) keepsIdleConnection(rc *receiver) bool {
 	if s.now < rc.route.destination.noReuseUntil {
 		return false
@@ -17,26 +18,29 @@
 	return rc.recentCalls.read(s.now, s.settings.IdleKept) >= minCalls
 }
 
-// scarce tells whether destinations of a receiver's kind refuse connections, or may: little is known of them.
+// connectionsScarce reports whether destinations of a receiver's kind refuse connections, or too few calls
+// were made to know.
 func (s *Sender) connectionsScarce(rc *receiver) bool {
 	stats := &rc.route.destination.kind.connections
 	calls := stats.calls.read(s.now, statisticsWindow)
 	return stats.lost.read(s.now, statisticsWindow) > refusedConnectionShare*(calls-minCallsPerKind)
 }
 
-// distrustsIdle tells whether idle connections break more often by far than others: then something between
-// forgets them, and what goes out on one is lost, for good if it must not run twice.
+// distrustsIdleConnections reports whether calls are lost much more often on idle connections than on others.
+// Then something on the network path forgets idle connections, and a call that is sent on one is lost. A
+// notice that must not run twice would be lost with it.
 func (s *Sender) distrustsIdleConnections() bool {
-	lost, calls := s.idleConnections.lost.read(s.now, statisticsWindow), s.idleConnections.calls.read(s.now, statisticsWindow)
-	otherLossShare := s.busyConnections.lost.read(s.now, statisticsWindow) / (1 + s.busyConnections.calls.read(s.now, statisticsWindow))
+	lost, calls := s.idleConnections.lost.read(s.now, statisticsWindow),
+		s.idleConnections.calls.read(s.now, statisticsWindow)
+	otherLossShare := s.busyConnections.lost.read(s.now, statisticsWindow) /
+		(1 + s.busyConnections.calls.read(s.now, statisticsWindow))
 	return lost >= 1 && lost/calls > excessLossShare+idleLossFactor*otherLossShare
 }
 
-// A call for which no connection was free leaves when its connection has come up, up to the connect time-out
-// after the decision to send it. What the sender has heard meanwhile decides whether it still may leave.
-
-// connectionsUp lets calls leave whose connections have come up, or takes them back. It comes after all other
-// events of the turn, so that an answer that was read together with the connection's coming up is known.
+// decideConnectedCalls writes or recalls the calls whose connections were established in this turn. Such a
+// connection may take until the connect timeout after the decision to send the call, and events in that time
+// may forbid it. decideConnectedCalls runs after all other events of the turn, so that it knows a response
+// that was read together with the event of the connection.
 func (s *Sender) decideConnectedCalls(events []Event) {
 	for _, e := range events {
 		up, ok := e.(ConnectionUp)
@@ -51,7 +55,7 @@
 	}
 }
 
-// mayStillLeave tells whether a call that was decided on before may leave now.
+// mayStillSend reports whether the call of a notice, which was decided on earlier, may be written now.
 func (s *Sender) mayStillSend(n *notice) bool {
 	c := n.currentCall
 	r := c.receiver.route
@@ -63,6 +67,7 @@
 	case r.state == halfOpen && !c.trial:
 		return false
 	}
-	// Calls that were decided on before an outage showed would all leave at its end, however it is paced.
+	// Calls that were decided on before the outage was seen would all be sent at its end, bypassing the
+	// pacing.
 	return !r.down || c.sentAt >= r.lastOutageSignAt
 }
--- a/rules/exchanges.go
+++ b/rules/exchanges.go
@@ -1,27 +1,29 @@
 package rules
 
-// Which answers are surely those of their calls. HTTP/1.1 ties answers to calls by their order on a
-// connection alone: a receiver that sends more than it was asked for shifts every later answer on that
-// connection to another call.
+// This file decides whether a response certainly belongs to its call. HTTP/1.1 matches responses to requests
+// only by their order on a connection: after unsolicited bytes from a receiver, each later response on that
+// connection may be matched to the wrong call.
 
 const (
-	// SettleTime is how long a connection must have been quiet since an answer to carry a further call: a
-	// second copy of an answer usually comes within that time.
+	// SettleTime is how long a connection must have been quiet after a response before it carries the next
+	// call. A second copy of a response usually arrives within that time.
 	SettleTime Millis = 50
-	// confirmDelays is how many mean delays the true answer to a call is waited for, behind one that may be
-	// another call's.
+	// confirmDelays is the number of mean delays for which the true response to a call is awaited after one
+	// that may belong to another call.
 	confirmDelays = 3.0
-	// settlePart is how much of a mean delay a call may wait for a connection that settles.
+	// settleShare is the share of a mean delay that a call may wait for a connection that settles.
 	settleShare = 0.5
-	// confirmPart is how much of its quoted time a notice that must not run twice waits at least for a
+	// confirmShare is the share of its quoted time that a notice that must not run twice waits at least for a
 	// refusal to be confirmed.
 	confirmShare = 0.125
-	// surplusRemembered is how long no connection is reused where a receiver sent more than it was asked for.
+	// noReuseTime is how long no connection to a destination is reused after a receiver sent unsolicited
+	// bytes.
 	noReuseTime = 10 * statisticsWindow
 )
 
-// ConfirmTime is how long behind an answer the true one would have come, if it was another call's. The
-// first answer on a connection is surely that of its call; a later one may be a late copy.
+// ConfirmTime returns how long to wait after a response for the true one, in case the response belongs to
+// another call. The first response on a connection certainly belongs to its call; a later one may be a late
+// copy of an earlier one.
 func (s *Sender) ConfirmTime(id ReceiverID) Millis {
 	rc := s.receivers[id]
 	if rc == nil {
@@ -30,8 +32,8 @@
 	return max(SettleTime, min(confirmDelays*rc.route.meanDelay, s.settings.Fall))
 }
 
-// WaitsToSettle tells whether a call waits for a connection that still settles rather than for a new one,
-// which costs the receiver work, and the call the time of coming up and of a handshake.
+// WaitsToSettle reports whether a call waits for a connection that settles in the time left, rather than for
+// a new connection. A new one costs the receiver work, and the call the connect time and a handshake.
 func (s *Sender) WaitsToSettle(id ReceiverID, left, connectTime Millis) bool {
 	if rc := s.receivers[id]; rc != nil {
 		connectTime = max(connectTime, settleShare*rc.route.meanDelay)
@@ -39,7 +41,7 @@
 	return left <= connectTime
 }
 
-// holdUnconfirmed keeps a notice from its next trip until it is confirmed that this one has not run.
+// delayUnconfirmed delays the next trip of a notice until it is confirmed that the last one did not run.
 func (s *Sender) delayUnconfirmed(n *notice, e TripEnded) {
 	if !e.Unconfirmed {
 		return
@@ -52,7 +54,8 @@
 	n.notBefore = max(n.notBefore, n.unconfirmedUntil)
 }
 
-// outcomeConfirmed lets the next notice of a key go where this one is over.
+// confirmOutcome marks an outcome as confirmed. If its notice has ended, the next notice of the key may be
+// sent.
 func (s *Sender) confirmOutcome(e OutcomeConfirmed) {
 	if n := s.notices[e.Notice]; n != nil {
 		n.unconfirmed = false
@@ -62,7 +65,7 @@
 	}
 }
 
-// outcomeDoubted takes an outcome back: its answer may have been another call's, and the trip may have run.
+// retractOutcome retracts an outcome whose response may belong to another call: the trip may have run.
 func (s *Sender) retractOutcome(e OutcomeDoubted) {
 	if ended := s.unconfirmed[e.Notice]; ended != nil {
 		s.coolDownKey(ended)
@@ -90,15 +93,16 @@
 	}
 }
 
-// restKey lets the key of a notice rest whose last trip may still run.
+// coolDownKey starts the cooldown of a notice's key, because the last trip of the notice may still be
+// running.
 func (s *Sender) coolDownKey(n *notice) {
 	if queue := s.keys[n.key]; queue != nil {
 		queue.cooldownUntil = max(queue.cooldownUntil, s.now+s.settings.KeyRest)
 	}
 }
 
-// surplusHeard heeds that a receiver sent more than it was asked for: calls to its destination have
-// connections of their own.
+// handleUnsolicitedBytes stops the reuse of connections to a destination after one of its receivers sent
+// bytes that no call had requested: each call gets a connection of its own, and idle connections are closed.
 func (s *Sender) handleUnsolicitedBytes(e SurplusHeard) {
 	rc := s.receivers[e.Receiver]
 	if rc == nil {
--- a/rules/gate.go
+++ b/rules/gate.go
@@ -2,8 +2,10 @@
 
 import "math"
 
-// What every call has to pass: the six rules, the slots and the windows.
+// This file holds the checks before each send: the six rules of delivery (see docs/design.md), the slots, the
+// delay windows and the pace.
 
+// routeAvailableAt returns when the requested waits, the backoff and the open breaker of a route are over.
 func (s *Sender) routeAvailableAt(r *route) Millis {
 	if r.state == open {
 		return max(s.now, r.waitUntil, r.halfOpenAt)
@@ -11,7 +13,7 @@
 	return max(s.now, r.waitUntil)
 }
 
-// passesAt is the earliest time at which the six rules let a notice go to a receiver.
+// allowedAt returns the earliest time at which the six rules allow a notice to be sent to a receiver.
 func (s *Sender) allowedAt(n *notice, rc *receiver) Millis {
 	r := rc.route
 	if rc.status != Ready || !s.repeatSafe(n, rc) {
@@ -27,13 +29,14 @@
 	return at
 }
 
-// forgottenAt is from when on a numbered notice that may have run is not sent again: its mark must still be
-// known when the call is written, which may be a hold-up later.
+// markUnsafeFrom returns the time from which on a numbered notice that may have run is not sent again. The
+// receiver must still remember its mark when the call is written, and a pause of the process may delay that.
 func (s *Sender) markUnsafeFrom(n *notice) Millis {
 	return n.firstRunAt + n.grade.RemembersFor - s.settings.Stall
 }
 
-// gate is passed by every send, in every state: it keeps the rules and the slots.
+// maySend reports whether a notice may be sent to a receiver now. Each send passes this check, whatever the
+// state of the breaker.
 func (s *Sender) maySend(n *notice, rc *receiver) bool {
 	if queue := s.keys[n.key]; queue != nil && queue.notices[0] != n || s.allowedAt(n, rc) > s.now {
 		return false
@@ -44,6 +47,9 @@
 	return s.nextCallAt(rc.route) <= s.now && s.hasSlotFor(rc.route) && s.addTokens(rc, 0) >= 1
 }
 
+// hasSlotFor reports whether the limits on concurrent calls allow a further call to a route: the slots of the
+// sender, of the destination and of all suspect routes, the trials of a half-open breaker and the delay
+// window.
 func (s *Sender) hasSlotFor(r *route) bool {
 	if s.slotsInUse >= s.settings.Slots || s.shortageUntil > s.now || r.state == open {
 		return false
@@ -53,7 +59,8 @@
 		calls += len(o.outstanding)
 		failing = failing || s.failing(o)
 	}
-	// Many that are sick at once must not hold every slot: what is well needs few, but now.
+	// Many routes that fail at once must not use every slot. Healthy routes need few slots, but need them at
+	// once.
 	if s.suspectSlots >= s.maxSuspectSlots && s.suspect(r) {
 		return false
 	}
@@ -75,7 +82,7 @@
 	return float64(calls) < maxCalls && float64(len(r.outstanding)) < math.Floor(min(r.delayWindow, maxCalls))
 }
 
-// repeatSafe keeps an effect from happening twice.
+// repeatSafe reports whether sending a notice to a receiver cannot cause a second effect.
 func (s *Sender) repeatSafe(n *notice, rc *receiver) bool {
 	switch {
 	case !n.mayHaveRun || n.grade.Repeat == Reissuable || n.grade.Repeat == Numbered && !n.grade.ZoneOnly:
--- a/rules/state.go
+++ b/rules/state.go
@@ -176,19 +176,18 @@
 	quotedUntil, expiresAt, notBefore Millis // expiresAt is the client timeout
 	// surelyInTimeUntil is the latest time at which an outcome that is read certainly came before expiresAt,
 	// however long the notice itself waited to be read.
-	surelyInTimeUntil     Millis
-	trips, possibleRuns   int // possibleRuns counts the trips that may have run
-	currentCall           *call
-	mayHaveRun            bool // a trip of this notice may have run
-	zoneUnknown           bool // the zone of that trip is not known
-	firstRunAt            Millis
-	runZone               ZoneID
-	ended                 bool
-	unconfirmed           bool   // the outcome of its last trip may yet be retracted
-	unconfirmedUntil      Millis // until then the last trip may turn out to have run
-	sendableAt            Millis // as computed in this turn
-	acceptOrder           uint64
-	waiting, unrestricted bool // waiting: the notice is in the lists of its destination
+	surelyInTimeUntil       Millis
+	trips, possibleRuns     int // possibleRuns counts the trips that may have run
+	currentCall             *call
+	mayHaveRun, zoneUnknown bool // a trip may have run; the zone of that trip is not known
+	firstRunAt              Millis
+	runZone                 ZoneID
+	ended                   bool
+	unconfirmed             bool   // the outcome of its last trip may yet be retracted
+	unconfirmedUntil        Millis // until then the last trip may turn out to have run
+	sendableAt              Millis // as computed in this turn
+	acceptOrder             uint64
+	waiting, unrestricted   bool // waiting: the notice is in the lists of its destination
 	// waitingIndex is the index in destination.waiting, and listIndex the one in destination.unrestricted or
 	// destination.restricted.
 	waitingIndex, listIndex int
