--- a/rules/gate.go
+++ b/rules/gate.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// This file holds the checks before each send: the six rules of delivery (see docs/design.md), the slots, the
-// delay windows and the pace.
+// This file holds the checks before each send: the six delivery rules (internal/audit lists and verifies
+// them), the slots, the delay windows and the pace.
 
 // routeAvailableAt returns when the requested waits, the backoff and the open breaker of a route are over.
 func (s *Sender) routeAvailableAt(r *route) Millis {
--- a/rules/notices.go
+++ b/rules/notices.go
@@ -6,8 +6,10 @@
 	"slices"
 )
 
-// Notices from their coming to their final answer: what they are worth, and which are ended when.
+// This file follows notices from their acceptance to their final answer: how much credit they are worth, and
+// which of them are ended without delivery, and when.
 
+// acceptNotice adds a notice to the hold. A notice of an unknown grade earns no credit.
 func (s *Sender) acceptNotice(e NoticeTaken) {
 	g := &grade{Grade: Grade{ClientTimeout: e.Left, QuotedTime: e.Left}}
 	if int(e.Grade) < len(s.grades) {
@@ -19,10 +21,11 @@
 	submittedAt := n.expiresAt - g.ClientTimeout
 	n.quotedUntil = submittedAt + g.QuotedTime
 	n.credit = g.Credit * s.portfolioFactor(e.Portfolio)
-	n.trips, n.possibleRuns, n.mayHaveRun, n.firstRunAt, n.runZone = e.Trips, e.Ran, e.Ran > 0, s.now-e.RanAgo, e.RanZone
+	n.trips, n.possibleRuns, n.mayHaveRun, n.firstRunAt, n.runZone =
+		e.Trips, e.Ran, e.Ran > 0, s.now-e.RanAgo, e.RanZone
 	if e.Inherited && g.Repeat == Numbered {
-		// It may have run, at a receiver that is not told and from its hand-in on. At-most-once notices
-		// that may have run are never handed on.
+		// The notice may have run since its submission, at a receiver that the event does not name.
+		// At-most-once notices that may have run are never passed to another sender.
 		n.mayHaveRun, n.zoneUnknown, n.firstRunAt = true, true, submittedAt
 	}
 	if e.Key != 0 && g.InOrder {
@@ -35,7 +38,8 @@
 	s.holdNotice(n)
 }
 
-// shareWorth is what a portfolio's credit counts now: less as this sender's part of its share is passed.
+// portfolioFactor returns the factor by which the credit of a portfolio's notices counts now. It falls
+// towards Settings.OverShare as the portfolio exceeds this sender's part of its quota.
 func (s *Sender) portfolioFactor(p PortfolioID) float64 {
 	if int(p) >= len(s.portfolioNotices) {
 		return 1
@@ -47,22 +51,25 @@
 	return s.settings.OverShare + (1-s.settings.OverShare)*withinShare
 }
 
-// weighGrades gives each grade its weight in what the deployment aims for: the credit of the whole, and of
-// the grade served worst. It guards against giving up the grade with the least credit for all others.
+// updateGradeWeights sets the weight of each grade from the two goals of the deployment: the total credit,
+// and the earned share of the credit in the grade with the lowest share. The second goal prevents that the
+// grade with the least credit gives way to all others.
 func (s *Sender) updateGradeWeights() {
 	var totalCredit, weightSum float64
 	for _, g := range s.grades {
 		requested := 1 + g.requestedCredit.read(s.now, statisticsWindow)
-		g.weight = math.Exp(-(1 + g.earnedCredit.read(s.now, statisticsWindow)) / requested / servedShareScale)
+		g.weight = math.Exp(-(1 + g.earnedCredit.read(s.now, statisticsWindow)) /
+			requested / servedShareScale)
 		totalCredit, weightSum = totalCredit+requested, weightSum+g.weight
 	}
 	for _, g := range s.grades {
-		g.weight = s.settings.WholeGoal + s.settings.WorstGoal*g.weight/weightSum*totalCredit/(1+g.requestedCredit.value)
+		g.weight = s.settings.WholeGoal +
+			s.settings.WorstGoal*g.weight/weightSum*totalCredit/(1+g.requestedCredit.value)
 	}
 }
 
-// end is the one place that gives a final answer. A dismissal tells that a repeat is harmless, so what may
-// have run is broken off.
+// finish ends a notice without delivery; no other function does. A dismissal promises that a repeat is
+// harmless, so a notice that may have run is broken off instead.
 func (s *Sender) finish(n *notice, retryAt Millis, forSpace bool) {
 	n.grade.requestedCredit.add(s.now, statisticsWindow, n.credit)
 	if n.mayHaveRun || n.currentCall != nil || s.now < n.unconfirmedUntil {
@@ -77,17 +84,19 @@
 	s.releaseNotice(n)
 }
 
-// lastCall is when a notice has its final answer at the latest; a timer may land a tick late.
+// answerBy returns the latest time for the final answer of a notice. It lies three ticks before the client
+// timeout, because a timer may fire a tick late.
 func (s *Sender) answerBy(n *notice) Millis { return n.expiresAt - 3*s.settings.Tick }
 
-// AnswerMayBeLate tells whether an answer that is heard now may have come after its notice's client timeout.
-// Such a notice needs a final answer all the same: what came too late was no delivery.
+// AnswerMayBeLate reports whether a response that is read now may have come after the client timeout of its
+// notice. Such a response is no delivery, so the notice still needs a final answer.
 func (s *Sender) AnswerMayBeLate(id NoticeID, now Millis) bool {
 	n := s.notices[id]
 	return n != nil && now > n.surelyInTimeUntil
 }
 
-// giveUp ends what can no longer be handled, at once.
+// endUndeliverable ends the notices that can no longer be delivered in time, or that have used all their
+// trips.
 func (s *Sender) endUndeliverable() {
 	var undeliverable []*notice
 	for _, d := range s.waitingDestinations {
@@ -105,13 +114,15 @@
 			undeliverable = append(undeliverable, n)
 		}
 	}
-	slices.SortFunc(undeliverable, func(a, b *notice) int { return cmp.Compare(a.acceptOrder, b.acceptOrder) })
+	slices.SortFunc(undeliverable, func(a, b *notice) int {
+		return cmp.Compare(a.acceptOrder, b.acceptOrder)
+	})
 	for _, n := range undeliverable {
 		s.finish(n, n.sendableAt, false)
 	}
 }
 
-// opensAt is the earliest time at which the rules may let a notice go, as far as that is known.
+// earliestSend returns the earliest time at which the rules allow a notice to be sent, as far as is known.
 func (s *Sender) earliestSend(n *notice) Millis {
 	d, at := s.examine(n.destination), never
 	switch {
@@ -128,8 +139,9 @@
 	return at
 }
 
-// look finds out, once a turn, when a destination may take a notice that nothing holds back, and whether it
-// may take one now: with many notices held for few that may, a turn must not ask for each of them.
+// examine computes, once per turn, when an unrestricted notice may be sent to a destination, and whether the
+// destination accepts one now. With many held notices and few destinations that accept any, checking each
+// notice would make a turn too slow.
 func (s *Sender) examine(d *destination) *destination {
 	if d.examinedInTurn == s.turnNumber {
 		return d
@@ -147,14 +159,15 @@
 	return d
 }
 
-// takes tells whether a route may be sent a notice now that nothing holds back.
+// accepts reports whether an unrestricted notice may be sent to a route now.
 func (s *Sender) accepts(r *route) bool {
 	sendable := func(rc *receiver) bool { return rc.status == Ready && s.addTokens(rc, 0) >= 1 }
 	availableAt := max(s.routeAvailableAt(r), s.nextCallAt(r))
 	return availableAt <= s.now && s.hasSlotFor(r) && slices.ContainsFunc(r.receivers, sendable)
 }
 
-// outlook is how much longer than known a destination may stay away: as long again as it has, as outages go.
+// expectedFurtherOutage estimates how much longer a destination stays down: as long again as it has been
+// down, which is typical of outages.
 func (s *Sender) expectedFurtherOutage(d *destination) Millis {
 	shortest := Millis(0)
 	for i, r := range d.routes {
@@ -168,14 +181,16 @@
 	return shortest
 }
 
-// crowded tells whether what is held nearly fills the hold limit, or this sender's own room for it.
+// nearlyFull reports whether the held notices nearly reach the hold limit, or take nearly all space of this
+// sender (memory and ledger).
 func (s *Sender) nearlyFull() bool {
 	limit := s.settings.HoldLimit
 	return limit > 0 && float64(s.heldCount) > nearlyFullShare*float64(limit) || s.usedSpace > nearlyFullShare
 }
 
-// makeRoom guards against a hold full of notices that wait for shut destinations: those that promise least go
-// back to their clients, which may come again, before newcomers for others are turned away unseen.
+// freeSpace dismisses the notices with the lowest expected credit when the hold is nearly full, so that
+// notices for unavailable destinations do not cause the rejection of new notices for other destinations. The
+// clients of dismissed notices may submit them again.
 func (s *Sender) freeSpace() {
 	if !s.nearlyFull() {
 		return
--- a/rules/outcomes.go
+++ b/rules/outcomes.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// What the outcome of a trip tells of its notice, its receiver and its route.
+// This file records the outcome of a trip for its notice, its receiver and its route.
 
+// endTrip applies the outcome of a trip, and queues the notice again if it has not ended.
 func (s *Sender) endTrip(e TripEnded) {
 	n := s.notices[e.Notice]
 	if n == nil || n.currentCall == nil {
@@ -46,9 +47,10 @@
 		s.finish(n, s.now, false)
 		return
 	}
-	// How often a further trip is made follows how many of the recent ones succeeded.
+	// The fewer of the recent further trips succeeded, the longer the delay before the next one.
 	if e.Result != Full && e.Result != Moot && !notSent(e.Result) {
-		successShare := (s.succeededFurtherTrips.read(s.now, statisticsWindow) + 1) / (s.furtherTrips.read(s.now, statisticsWindow) + 1)
+		successShare := (s.succeededFurtherTrips.read(s.now, statisticsWindow) + 1) /
+			(s.furtherTrips.read(s.now, statisticsWindow) + 1)
 		n.notBefore = s.now + n.grade.QuotedTime/16*Millis(1/successShare-1)
 	}
 	if !countsAsRun {
@@ -57,17 +59,18 @@
 	s.enqueue(n)
 }
 
-// mayStillRun tells an outcome of which the call may go on at its receiver.
+// mayStillBeRunning reports whether the receiver may still be processing the call after this result.
 func mayStillBeRunning(result Result) bool {
 	return result == TimedOut || result == Reset || result == Cancelled || result == Ambiguous
 }
 
-// unsent tells an outcome that counts as no trip.
+// notSent reports whether the call of this result was not sent, so that it counts as no trip.
 func notSent(result Result) bool { return result == Short || result == Recalled }
 
-// shortage heeds that a call could not be sent for want of something of this sender's own (a connection, a
-// descriptor, room in its ledger). It tells nothing of the notice or of the destination: all wait, longer
-// each time, until something is handled, so that a shortage is neither asked after without end nor outlived.
+// pauseForShortage pauses all sending after a call could not be sent because this sender ran short of a
+// resource: a connection, a file descriptor or space in its ledger. That says nothing about the notice or the
+// destination. Each further pause is twice as long, up to a quarter of the overload time, until a notice is
+// handled. So the sender neither retries without end during a shortage, nor waits long after it is over.
 func (s *Sender) pauseForShortage() {
 	if s.shortageUntil <= s.now {
 		s.shortagePause = min(max(2*s.shortagePause, s.settings.Fall/128), s.settings.Fall/4)
@@ -75,7 +78,8 @@
 	}
 }
 
-// settleCall books a call once, whatever the number of notices aboard.
+// recordCall applies the outcome of a call. The statistics count a call once, however many notices it
+// carries.
 func (s *Sender) recordCall(c *call, e TripEnded) {
 	r := c.receiver.route
 	if c.pendingOutcomes--; c.pendingOutcomes == 0 {
@@ -105,7 +109,8 @@
 	case e.Result == Full:
 		s.addTokens(c.receiver, 1)
 		s.recordRefusal(r, c, e.Wait)
-	case e.Result == Moot || e.Result == Ambiguous || notSent(e.Result) || e.Result == Cancelled && !c.cancelled,
+	case e.Result == Moot || e.Result == Ambiguous || notSent(e.Result) ||
+		e.Result == Cancelled && !c.cancelled,
 		e.Result == TimedOut && c.timeoutShortened:
 		s.addTokens(c.receiver, 1)
 	default:
@@ -113,8 +118,10 @@
 	}
 }
 
-// bookConnection sets calls on a connection that had been idle against the others, by how many broke or were
-// swallowed, and counts the connections refused by destinations of a kind.
+// recordConnection counts the calls and the lost ones separately for connections that had been idle and for
+// all others. A call is lost if its connection was reset, or if no response came before the call timed out or
+// was cancelled by this sender. For each kind of destination, recordConnection counts the refused
+// connections.
 func (s *Sender) recordConnection(c *call, e TripEnded) {
 	reuseStats, kindStats := &s.busyConnections, &c.receiver.route.destination.kind.connections
 	if c.onIdleConnection {
@@ -132,12 +139,14 @@
 	}
 }
 
+// recordSuccess applies a handled call to its route: it may end an outage or close the breaker.
 func (s *Sender) recordSuccess(r *route, c *call) {
 	r.lastResponseAt, r.consecutiveFailures, r.backoff = s.now, 0, 0
 	r.recentHandled.add(s.now, s.settings.Fall, 1)
 	r.handledCalls.add(s.now, statisticsWindow, 1)
 	r.limitShare = min(r.limitShare+1/(4*r.limitRate*float64(s.settings.Fall)+1), 1)
-	// An answer to a call from before the last sign of an outage tells nothing of its end.
+	// A response to a call that was sent before the last sign of an outage does not show that the outage is
+	// over.
 	if c.sentAt >= r.lastOutageSignAt {
 		if r.outageConfirmed || s.now-r.outageSince >= confirmingOverloadTimes*s.settings.Fall {
 			r.recoveredAt, r.outageDuration = s.now, max(s.now-r.outageSince, resetTimeout)
@@ -153,10 +162,12 @@
 	s.recordOutcome(r, false)
 }
 
+// recordFailure applies a failed call to its route: it is a sign of an outage and may open the breaker.
 func (s *Sender) recordFailure(r *route, c *call, result Result) {
 	r.consecutiveFailures++
 	r.recentFailed.add(s.now, s.settings.Fall, 1)
-	s.noteOutageSign(r, s.confirmsOutage(r, c), r.recentFailed.value >= max(r.recentHandled.read(s.now, s.settings.Fall), 2))
+	s.noteOutageSign(r, s.confirmsOutage(r, c),
+		r.recentFailed.value >= max(r.recentHandled.read(s.now, s.settings.Fall), 2))
 	if result == Errored {
 		r.lastResponseAt = s.now
 	} else {
@@ -169,23 +180,27 @@
 	s.recordOutcome(r, true)
 }
 
-// refused heeds a refusal: the limit, a full queue, or a shut destination.
+// recordRefusal applies a refused call to its route. The reason may be the limit, a full queue, or that the
+// destination is unavailable.
 func (s *Sender) recordRefusal(r *route, c *call, wait Millis) {
 	r.lastResponseAt = s.now
-	// The longer, the more senders share a limit: so much that what they send together gets under it.
+	// The pause grows with the number of senders that share a limit, so that together they get below it.
 	destinationKind := r.destination.kind
-	typicalWait := 2 * Millis(destinationKind.waitTotal.value+float64(s.settings.Fall)/4) / Millis(destinationKind.waitCount.value+0.5)
+	typicalWait := 2 * Millis(destinationKind.waitTotal.value+float64(s.settings.Fall)/4) /
+		Millis(destinationKind.waitCount.value+0.5)
 	pause := min(typicalWait, Millis(float64(s.settings.Senders)/r.limitRate))
 	if wait > 0 {
 		destinationKind.waitTotal.add(s.now, statisticsWindow, float64(wait))
 		destinationKind.waitCount.add(s.now, statisticsWindow, 1)
 		r.waitUntil = max(r.waitUntil, s.now+wait+pause*Millis(s.random()))
-	} else if c.sentAt >= r.lastReducedAt { // calls refused together tell no more than one of them
+	} else if c.sentAt >= r.lastReducedAt { // refusals of concurrent calls count as one
 		r.backoff = max(2*r.backoff, pause, s.settings.Fall/16)
 		r.waitUntil = max(r.waitUntil, s.now+r.backoff*Millis(0.5+s.random()))
 	}
-	// Told to wait with much of the limit left, or for long: shut, not over its limit.
-	unavailable := wait > 0 && r.limitRemaining > ampleLimitRemaining || wait > confirmingOverloadTimes*s.settings.Fall
+	// A wait that is requested with much of the limit left, or a long one, does not come from the limit: the
+	// destination is unavailable.
+	unavailable := wait > 0 && r.limitRemaining > ampleLimitRemaining ||
+		wait > confirmingOverloadTimes*s.settings.Fall
 	s.noteOutageSign(r, false, unavailable || s.confirmsOutage(r, c))
 	if c.sentAt < r.lastReducedAt {
 		return
