--- a/rules/serve.go
+++ b/rules/serve.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Which notice goes next, where to, and when to wake for the next.
+// This file chooses the notices to send and their receivers, and sets the timer for the next turn.
 
-// serve sends what may be sent, the most urgent first.
+// sendNotices sends the notices that may be sent now, the most urgent first. Reissuable notices go first to
+// routes that lose calls; see sendToBest.
 func (s *Sender) sendNotices() {
 	var ready []*notice
 	for _, d := range s.waitingDestinations {
@@ -15,7 +16,8 @@
 			continue
 		}
 		for _, n := range d.waiting {
-			n.urgency = n.grade.weight * (s.creditAt(n, s.now) - deferralDiscount*s.creditAt(n, s.now+n.grade.QuotedTime))
+			n.urgency = n.grade.weight *
+				(s.creditAt(n, s.now) - deferralDiscount*s.creditAt(n, s.now+n.grade.QuotedTime))
 			ready = append(ready, n)
 		}
 	}
@@ -23,38 +25,43 @@
 	for _, reissuableOnly := range []bool{true, false} {
 		for _, n := range ready {
 			d := n.destination
-			if n.currentCall == nil && d.fullInTurn != s.turnNumber && !s.sendToBest(n, reissuableOnly) && d.kind.PerCall <= 1 &&
+			if n.currentCall == nil && d.fullInTurn != s.turnNumber &&
+				!s.sendToBest(n, reissuableOnly) && d.kind.PerCall <= 1 &&
 				!slices.ContainsFunc(d.routes, s.accepts) {
-				d.fullInTurn = s.turnNumber // whatever else is held for it, it takes no more in this turn
+				d.fullInTurn = s.turnNumber // none of its other notices can be sent in this turn either
 			}
 		}
 	}
-	if len(s.waitingDestinations) > 0 && (s.slotsInUse >= s.settings.Slots || s.suspectSlots >= s.maxSuspectSlots) {
+	if len(s.waitingDestinations) > 0 &&
+		(s.slotsInUse >= s.settings.Slots || s.suspectSlots >= s.maxSuspectSlots) {
 		s.cancelOverdueCall()
 	}
 }
 
-// byUrgency puts the most urgent first, and of equal ones the one taken first.
+// byUrgency orders notices by falling urgency, and equal ones by their acceptance.
 func byUrgency(a, b *notice) int {
 	return cmp.Or(cmp.Compare(b.urgency, a.urgency), cmp.Compare(a.acceptOrder, b.acceptOrder))
 }
 
-// freeSlot guards against calls that are swallowed and hold every slot until they time out: when slots run
-// out, or those for doubtful routes, the call that is most overdue is called off. Where a quarter of them
-// wait for calls that are overdue by what calls take (at a route that has answered none: by what they take
-// elsewhere), answers get lost, and a quoted time is too long.
+// cancelOverdueCall cancels the most overdue call when the slots run out, or those for suspect routes. It
+// prevents that calls without a response use every slot until they time out. Usually a call is overdue by
+// its own overdueAfter, which is at least half a quoted time. When calls that are overdue by the mean delay
+// of their route (by that of all routes where their own has sent no response) use a quarter of the slots,
+// responses get lost and a quoted time is too long to wait: then the call that is most overdue by the mean
+// delay is cancelled.
 func (s *Sender) cancelOverdueCall() {
 	var mostOverdue, slowest *call
 	maxAge, maxDelayAge, slowCalls := cancelAge, cancelAge, 0
 	for _, r := range s.activeRoutes() {
 		for _, c := range r.outstanding {
 			if c.cancelled {
-				return // its slot is about to be free
+				return // a slot will be free soon
 			}
 			if age := float64((s.now - c.sentAt) / c.overdueAfter); age > maxAge {
 				mostOverdue, maxAge = c, age
 			}
-			delayAge := float64((s.now - c.sentAt) / (overdueDelays * cmp.Or(r.meanDelay, s.meanDelay, never)))
+			delayAge := float64((s.now - c.sentAt) /
+				(overdueDelays * cmp.Or(r.meanDelay, s.meanDelay, never)))
 			if delayAge > 1 {
 				slowCalls++
 			}
@@ -75,9 +82,11 @@
 	}
 }
 
-// offer sends a notice to the best receiver that the gate lets it go to. Equal ones rank by this sender's
-// lot: if all took the first of a list, its connections would run out. One where its grade failed comes last.
-// To a route that loses calls, reissuable notices go first: what they find out costs nothing.
+// sendToBest sends a notice to the best receiver that maySend allows, and reports whether there is one. Equal
+// receivers rank by a random tie-break of this sender: if all senders chose the first one of the list, it
+// would run out of connections. Receivers where the grade of the notice failed rank last. With
+// reissuableOnly, only reissuable notices are sent to routes that lose calls: they may be repeated, so they
+// test the route at no cost.
 func (s *Sender) sendToBest(n *notice, reissuableOnly bool) bool {
 	var best *receiver
 	var bestScore float64
@@ -105,7 +114,7 @@
 	return best != nil
 }
 
-// joins is the call begun in this turn that a further notice for a receiver would travel on.
+// joinableCall returns the call begun in this turn that can carry a further notice to a receiver, or nil.
 func (s *Sender) joinableCall(rc *receiver) *call {
 	for _, c := range s.newCalls {
 		if c.receiver == rc && len(c.notices) < rc.route.destination.kind.PerCall {
@@ -115,6 +124,7 @@
 	return nil
 }
 
+// sendTo sends a notice to a receiver, on a call of this turn that can carry it or on a new one.
 func (s *Sender) sendTo(n *notice, rc *receiver) {
 	r, c := rc.route, s.joinableCall(rc)
 	if c == nil {
@@ -148,8 +158,9 @@
 	s.emit(Send{n.id, rc.id, s.tripTimeout(n, r)})
 }
 
-// timeOut is how long a trip may take: longer where calls are slow, and with each trip that ran, as the
-// notice may be slow itself. What must not run twice is lost with a time-out, so it waits longer.
+// tripTimeout returns the timeout of a trip. It is longer where calls are slow, and grows with each trip that
+// may have run, because the notice itself may be slow to process. A notice that must not run twice is lost
+// when its trip times out, so its timeout is three times as long.
 func (s *Sender) tripTimeout(n *notice, r *route) Millis {
 	timeout := max(n.grade.QuotedTime, overdueDelays*r.meanDelay) * Millis(1+n.possibleRuns)
 	if n.grade.Repeat == AtMostOnce {
@@ -158,7 +169,7 @@
 	return min(timeout, s.answerBy(n)-s.now)
 }
 
-// setTimer asks to be woken when the next thing may be due that no other event brings.
+// setTimer sets the timer to the next time at which a decision may be due without any other event.
 func (s *Sender) setTimer() {
 	next := s.watchListAt
 	if len(s.waitingDestinations) > 0 && s.shortageUntil > s.now {
@@ -181,7 +192,7 @@
 		if earliest > s.now {
 			continue
 		}
-		next = min(next, s.now+s.settings.Fall/4) // a return quickens the pace, and credits come back
+		next = min(next, s.now+s.settings.Fall/4) // a recovery raises the rate, and tokens refill
 		for _, r := range d.routes {
 			if at := s.nextCallAt(r); at > s.now {
 				next = min(next, at)
@@ -191,7 +202,7 @@
 	if s.slotsInUse > 0 {
 		next = min(next, s.now+s.settings.Fall/8)
 	}
-	if s.timerAt < s.now+s.settings.Tick/2 { // the wire's clock may round it to just before its time
+	if s.timerAt < s.now+s.settings.Tick/2 { // it is due: the caller may round times down
 		s.timerAt = never
 	}
 	if next = max(next, s.now+s.settings.Tick); next < s.timerAt {
--- a/rules/windows.go
+++ b/rules/windows.go
@@ -1,16 +1,19 @@
 package rules
 
-// How many calls may be out: the credits of a receiver and the delay window of a route.
+// This file limits how many calls may be outstanding, by the tokens of a receiver and the delay window of a
+// route.
 
-// earn gives a receiver credits back: an answer what its send has spent, a success what a failed call has
-// spent besides. What stays lost comes back one a fall.
+// addTokens refills the tokens of a receiver and returns them. A call takes one token. A response gives it
+// back, and a success gives back one more, which a failed call lost. Tokens that stay lost are refilled one
+// per overload time.
 func (s *Sender) addTokens(rc *receiver, tokens float64) float64 {
 	tokens += float64((s.now - rc.tokensUpdatedAt) / s.settings.Fall)
 	rc.tokens, rc.tokensUpdatedAt = min(rc.tokens+tokens, s.maxTokens), s.now
 	return rc.tokens
 }
 
-// measure moves the delay window.
+// updateDelayWindow adds the delay of a handled call to the means and adjusts the delay window: it grows
+// while it is well used and the mean delay is near the best one, and shrinks while the route is slow.
 func (s *Sender) updateDelayWindow(r *route, delay Millis) {
 	r.meanDelay = r.delays.add(s.now, s.settings.Fall, delay)
 	s.meanDelay = s.delays.add(s.now, s.settings.Fall, delay)
@@ -26,4 +29,5 @@
 	}
 }
 
+// slow reports whether the mean delay of a route is far above its best one.
 func (r *route) slow() bool { return r.meanDelay > slowRatio*r.bestDelay }
