--- a/rules/api.go
+++ b/rules/api.go
@@ -2,29 +2,38 @@
 
 import "fmt"
 
-// The ids that reach the module from outside; none tells anything but sameness.
+// The identifiers of the things that events and actions refer to. They are only compared for equality.
 type (
-	NoticeID      uint32
-	ReceiverID    uint32
+	// NoticeID identifies a notice at this sender.
+	NoticeID uint32
+	// ReceiverID identifies a receiver.
+	ReceiverID uint32
+	// DestinationID identifies a destination.
 	DestinationID int32
-	KeyID         uint64
-	GradeID       uint16
-	PortfolioID   uint32
-	ZoneID        uint8
-	KindID        uint16
-	TimerID       uint64
+	// KeyID identifies the key of a notice; 0 is no key.
+	KeyID uint64
+	// GradeID is an index of Settings.Grades.
+	GradeID uint16
+	// PortfolioID is an index of Settings.Quotas.
+	PortfolioID uint32
+	// ZoneID is an index of Settings.ZoneFees.
+	ZoneID uint8
+	// KindID is an index of Settings.Kinds.
+	KindID uint16
+	// TimerID identifies a timer.
+	TimerID uint64
 )
 
-// Millis is a time or a span in milliseconds.
+// Millis is a time or a duration in milliseconds.
 type Millis float64
 
-// Repeat tells whether a notice may run again.
+// Repeat says how a notice that may have run can be sent again.
 type Repeat uint8
 
 const (
-	AtMostOnce Repeat = iota // must never run twice
-	Numbered                 // a repeat is known by its mark
-	Reissuable               // may run again
+	AtMostOnce Repeat = iota // it must never run twice
+	Numbered                 // receivers recognize a repeat by its mark
+	Reissuable               // it may run any number of times
 )
 
 // Grade is a service grade.
@@ -32,157 +41,168 @@
 	QuotedTime    Millis
 	ClientTimeout Millis
 	Credit        float64
-	LateShare     float64 // share of the credit left at the client timeout
+	LateShare     float64 // share of the credit that is left at the client timeout
 	Repeat        Repeat
-	ZoneOnly      bool   // numbered: a repeat is known only within the zone of the first trip
-	RemembersFor  Millis // numbered: how long a mark is remembered, from the first trip on
-	InOrder       bool   // notices of one key take turns
+	ZoneOnly      bool   // numbered: receivers recognize a repeat only within the zone of the first trip
+	RemembersFor  Millis // numbered: how long receivers remember a mark, from the first trip on
+	InOrder       bool   // notices of one key are sent one after the other, in the order of their acceptance
 }
 
 // Kind is a kind of destination.
 type Kind struct {
-	PerCall int  // notices that one call may carry
+	PerCall int  // number of notices that one call may carry
 	Apart   bool // its receivers are separate routes
 }
 
-// Settings is what a sender is told at its start.
+// Settings configures a sender. They do not change while it runs.
 type Settings struct {
 	Grades      []Grade
 	Kinds       []Kind
-	Quotas      []float64 // notices a second within each portfolio's share, all senders together
-	ZoneFees    []float64
-	Senders     int
-	Slots       int // calls out at once
-	HoldLimit   int // notices held or out at once
-	TripLimit   int
-	CallOff     bool // trips may be called off
-	Tick        Millis
-	OverShare   float64 // what credit beyond a portfolio's share counts
-	WholeGoal   float64 // how much all credit weighs in what the deployment aims for
-	WorstGoal   float64 // and that of the grade served worst
-	HalvesLate  bool    // credit halves with each further quoted time; else it falls evenly
-	RetryAfter  bool    // a dismissal may tell when to come back
-	RetryMost   Millis
-	ListOnAsk   bool // list changes come only to those that watch
-	AskWithin   Millis
-	ListedError float64 // how far a listed rate may be too high, as a share of the true one; < 0: none listed
-	ColdFrom    float64
-	WarmWithin  Millis
+	Quotas      []float64 // of each portfolio, in notices per second for all senders together
+	ZoneFees    []float64 // fee of a call to each zone
+	Senders     int       // number of senders of the deployment
+	Slots       int       // highest number of outstanding calls
+	HoldLimit   int       // highest number of notices that are held or out; 0: no limit
+	TripLimit   int       // highest number of trips of a notice
+	CallOff     bool      // outstanding trips may be cancelled
+	Tick        Millis    // resolution of the caller's timers
+	OverShare   float64   // weight of the credit beyond a portfolio's quota
+	WholeGoal   float64   // weight of the total credit in the goal of the deployment
+	WorstGoal   float64   // weight of the grade that is served worst in this goal
+	HalvesLate  bool      // late credit halves with each further quoted time; otherwise it falls linearly
+	RetryAfter  bool      // a dismissal may say when to submit the notice again
+	RetryMost   Millis    // longest time that a dismissal may say
+	ListOnAsk   bool      // the platform sends changes of the receiver list only to senders that ask for a watch
+	AskWithin   Millis    // time within which a broken watch of the receiver list must be requested again
+	ListedError float64   // by how much a listed rate may be too high, as a share of the true one; < 0: none listed
+	ColdFrom    float64   // share of its capacity that a destination has at the end of an outage
+	WarmWithin  Millis    // time within which it regains its full capacity
+	// TipMultiple and Fall describe when a recovering destination is overloaded: it is sent more than
+	// TipMultiple times its present capacity for the time Fall. Fall is this overload time; the decisions
+	// also use it as the time scale of other measurements.
 	TipMultiple float64
 	Fall        Millis
-	KeyRest     Millis
-	IdleKept    Millis // how long an idle connection is kept
-	Stall       Millis // how long the process may be held up before it reads what has come, or writes what it decided
+	KeyRest     Millis // cooldown of a key after a call that may still be running
+	IdleKept    Millis // how long receivers keep an idle connection
+	// Stall is the longest pause of the process to expect before it reads what has arrived, or writes what
+	// was decided.
+	Stall Millis
 }
 
-// Standing is what the list says of a receiver.
+// Standing is the status of a receiver in the receiver list.
 type Standing uint8
 
 const (
-	Gone Standing = iota
-	Ready
-	Draining
+	Gone     Standing = iota // it is not in the list
+	Ready                    // it accepts calls
+	Draining                 // it must not get new calls
 )
 
-// Entry is one line of the list of receivers.
+// Entry is one entry of the receiver list.
 type Entry struct {
 	Receiver    ReceiverID
 	Destination DestinationID
 	Kind        KindID
 	Zone        ZoneID
 	Standing    Standing
-	ListedRate  float64 // calls a second that the destination, or the route apart, takes
+	ListedRate  float64 // calls per second that the destination, or the separate route, accepts
 }
 
 // Result is how a trip ended.
 type Result uint8
 
 const (
-	Handled Result = iota
-	Errored
-	Full // turned away unseen
-	TimedOut
-	NotConnected // never ran
-	Reset
-	Cancelled
-	Moot      // not sent, and counts as a trip
-	Short     // not sent, for a shortage of this sender's own: counts as no trip
-	Recalled  // not sent, as it may not leave any more: counts as no trip
-	Ambiguous // an answer came that may be another call's: it may have run
+	Handled      Result = iota // delivered
+	Errored                    // the receiver responded with an error; the call may have run
+	Full                       // refused without being processed
+	TimedOut                   // no response came in time; the call may have run
+	NotConnected               // no connection was established; the call did not run
+	Reset                      // the connection broke; the call may have run
+	Cancelled                  // the sender stopped waiting; the call may have run
+	Moot                       // not sent; counts as a trip
+	Short                      // not sent because of a local shortage; counts as no trip
+	Recalled                   // not sent because it was recalled; counts as no trip
+	Ambiguous                  // the response may belong to another call; the call may have run
 )
 
-// String names a result.
+// String returns the name of the result.
 func (r Result) String() string {
-	names := [...]string{"handled", "errored", "full", "timed out", "not connected", "reset", "cancelled", "moot", "short",
-		"recalled", "ambiguous"}
+	names := [...]string{"handled", "errored", "full", "timed out", "not connected", "reset", "cancelled", "moot",
+		"short", "recalled", "ambiguous"}
 	return names[r]
 }
 
-// Event is something that happened to this sender.
+// Event is something that happened at this sender; Decide takes it into account.
 type Event interface{ event() }
 
 type (
-	// NoticeTaken hands the sender a notice, to which it now owes one final answer.
+	// NoticeTaken reports that the sender accepted a notice, which requires exactly one final answer.
 	NoticeTaken struct {
 		Notice      NoticeID
 		Grade       GradeID
 		Portfolio   PortfolioID
 		Key         KeyID // 0: none
 		Destination DestinationID
-		Left        Millis  // until the client timeout
-		Waited      Millis  // it may have waited so long to be read, which Left leaves out
-		Inherited   bool    // another sender held it and died
-		Room        float64 // share of the room for notices at this sender (memory, ledger) that it takes
+		Left        Millis  // time until the client timeout
+		Waited      Millis  // how long it may have waited to be read; Left does not count this time
+		Inherited   bool    // another sender held it before, and died
+		Room        float64 // share of the space for notices at this sender (memory, ledger) that it takes
 
-		// Of a notice that this sender held before it was started anew.
-		Trips, Ran int    // made, and those of them that may have run
-		RanAgo     Millis // since the first of these was sent
-		RanZone    ZoneID // and where to
+		// The fields below are set for a notice that this sender held before it restarted.
+
+		Trips, Ran int    // number of trips, and of those that may have run
+		RanAgo     Millis // time since the first trip that may have run was sent
+		RanZone    ZoneID // zone of the receiver of that trip
 	}
-	// TripEnded tells the outcome of one trip.
+	// TripEnded reports the outcome of one trip.
 	TripEnded struct {
 		Notice   NoticeID
 		Receiver ReceiverID
 		Result   Result
-		Spent    Millis
-		Wait     Millis // with Full: told to wait so long; 0: not told
-		Over     bool   // the notice is over, by this outcome or before
-		// Unconfirmed says that its connection had carried calls before: OutcomeConfirmed or OutcomeDoubted follows.
+		Spent    Millis // duration of the call
+		Wait     Millis // with Full: the wait that the receiver requested; 0: none
+		Over     bool   // the notice has ended, by this outcome or before
+		// Unconfirmed says that the connection had carried calls before, so that the response may belong to
+		// another call: OutcomeConfirmed or OutcomeDoubted follows.
 		Unconfirmed bool
-		// MayBeDelivered says, with Ambiguous, that one of the answers was a good one: nothing more may be sent for the notice.
+		// MayBeDelivered says, with Ambiguous, that one of the possible responses was a success: nothing more
+		// may be sent for the notice.
 		MayBeDelivered bool
-		LimitTold      bool
+		LimitTold      bool    // the response reported a limit
 		LimitLeft      float64 // share of the limit that is left
-		LimitRate      float64 // calls a second; 0: no limit
+		LimitRate      float64 // calls per second; 0: no limit
 	}
-	// ConnectionUp says that the connection for a call has come up, and asks whether the call may still leave: the answer
-	// is Write or Recall. A call that went on an idle connection was written at once.
+	// ConnectionUp reports that the connection for a call is established, and asks whether the call may still
+	// be sent: the reply is Write or Recall. A call on an idle connection is written at once, without this
+	// event.
 	ConnectionUp struct{ Notice NoticeID }
-	// WaitTold brings a wait before the outcome of its call is known, or after.
+	// WaitTold reports a wait that a receiver requested, apart from the outcome of the call: before it or
+	// after it.
 	WaitTold struct {
 		Receiver ReceiverID
 		Wait     Millis
 	}
-	// OutcomeConfirmed says that an unconfirmed outcome holds.
+	// OutcomeConfirmed reports that an unconfirmed outcome is certain.
 	OutcomeConfirmed struct{ Notice NoticeID }
-	// OutcomeDoubted takes back an unconfirmed outcome: the answer may have been another call's, and the trip may have run.
+	// OutcomeDoubted retracts an unconfirmed outcome: the response may belong to another call, and the trip
+	// may have run.
 	OutcomeDoubted struct {
 		Notice   NoticeID
 		Receiver ReceiverID
-		SentAgo  Millis // since the trip's call was written
+		SentAgo  Millis // time since the call of the trip was written
 	}
-	// SurplusHeard says that a receiver sent bytes that no call had asked for.
+	// SurplusHeard reports that a receiver sent unsolicited bytes.
 	SurplusHeard struct{ Receiver ReceiverID }
-	// NoticeWithdrawn says that nothing more is owed for a notice.
+	// NoticeWithdrawn reports that a notice no longer requires a final answer.
 	NoticeWithdrawn struct{ Notice NoticeID }
-	// ListTold brings list entries: all of them, or those that changed.
+	// ListTold reports entries of the receiver list: all of them, or those that changed.
 	ListTold struct {
-		Whole   bool
+		Whole   bool // Entries is the whole list; receivers that are not in it are gone
 		Entries []Entry
 	}
-	// ListFailed says that a watch could not be had, or broke.
+	// ListFailed reports that the watch of the receiver list could not be started, or broke.
 	ListFailed struct{}
-	// TimerDue brings back a timer.
+	// TimerDue reports that a timer fired.
 	TimerDue struct{ Timer TimerID }
 )
 
@@ -198,7 +218,7 @@
 func (ListFailed) event()       {}
 func (TimerDue) event()         {}
 
-// Action is something to be done for this sender, in the order given.
+// Action is something that the caller must do for this sender, in the order that Decide returns.
 type Action interface{ action() }
 
 type (
@@ -206,38 +226,38 @@
 	Send struct {
 		Notice   NoticeID
 		Receiver ReceiverID
-		TimeOut  Millis
+		TimeOut  Millis // longest duration of the trip
 	}
-	// Write lets a call leave whose connection has come up.
+	// Write sends a call whose connection was established.
 	Write struct{ Notice NoticeID }
-	// Recall takes a call back whose connection has come up; its outcome is Recalled.
+	// Recall withdraws a call whose connection was established before it is written; its outcome is Recalled.
 	Recall struct{ Notice NoticeID }
-	// Dismiss ends a notice: trying again is harmless.
+	// Dismiss ends a notice without delivery; submitting it again is harmless.
 	Dismiss struct {
 		Notice     NoticeID
-		RetryAfter Millis // 0: no advice
-		ForRoom    bool   // to make room in the hold
+		RetryAfter Millis // time after which the client should submit it again; 0: no advice
+		ForRoom    bool   // dismissed to free space in the hold
 	}
-	// BreakOff ends a notice and promises nothing.
+	// BreakOff ends a notice that may have taken effect.
 	BreakOff struct{ Notice NoticeID }
-	// CallOff stops waiting for a trip.
+	// CallOff cancels an outstanding trip; its outcome is Cancelled.
 	CallOff struct {
 		Notice NoticeID
-		Trip   int
+		Trip   int // number of the trip of this notice, from 0
 	}
 	// LetGo closes this sender's idle connections to a receiver.
 	LetGo struct{ Receiver ReceiverID }
-	// SetTimer asks for TimerDue.
+	// SetTimer requests the event TimerDue after a time.
 	SetTimer struct {
 		After Millis
 		Timer TimerID
 	}
-	// WatchList asks for list changes from now on.
+	// WatchList starts a watch of the receiver list.
 	WatchList struct{}
-	// Turned tells people that a route's breaker changed its state; Route is its first receiver.
+	// Turned reports, for the log, that the breaker of a route changed its state.
 	Turned struct {
 		Destination DestinationID
-		Route       ReceiverID
+		Route       ReceiverID // first receiver of the route
 		State, Why  string
 	}
 )
@@ -253,21 +273,21 @@
 func (WatchList) action() {}
 func (Turned) action()    {}
 
-// String is the change as a line of text.
+// String returns the change of state as a line for the log.
 func (t Turned) String() string {
 	return fmt.Sprintf("destination %d route %d %s: %s", t.Destination, t.Route, t.State, t.Why)
 }
 
-// Ends is the final answers among actions, Dismiss or BreakOff, by their notices.
+// Ends returns the final answers among the actions, each a Dismiss or a BreakOff, by their notices.
 func Ends(actions []Action) map[NoticeID]Action {
-	ends := map[NoticeID]Action{}
+	finalAnswers := map[NoticeID]Action{}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Dismiss:
-			ends[a.Notice] = a
+			finalAnswers[a.Notice] = a
 		case BreakOff:
-			ends[a.Notice] = a
+			finalAnswers[a.Notice] = a
 		}
 	}
-	return ends
+	return finalAnswers
 }
