--- a/rules/notices.go
+++ b/rules/notices.go
@@ -52,8 +52,8 @@
 }
 
 // updateGradeWeights sets the weight of each grade from the two goals of the deployment: the total credit,
-// and the earned share of the credit in the grade with the lowest share. The second goal prevents that the
-// grade with the least credit gives way to all others.
+// and the earned share of the credit in the grade with the lowest share. The second goal keeps the grade with
+// the least credit from giving way to all others.
 func (s *Sender) updateGradeWeights() {
 	var totalCredit, weightSum float64
 	for _, g := range s.grades {
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -40,8 +40,8 @@
 	// nearlyFullShare is the share of the hold limit, or of the space, above which the notices with the
 	// lowest expected credit are dismissed.
 	nearlyFullShare = 0.9
-	// recoveryRateFactor is the share of its part of the recovery rate that each of many senders uses;
-	// docs/design.md explains why it may exceed 1.
+	// recoveryRateFactor is the factor by which each of many senders exceeds its part of the recovery rate;
+	// docs/design.md explains why it may be over 1.
 	recoveryRateFactor = 1.5
 	// fewSenders is the number of senders up to which each uses just its part of the recovery rate.
 	fewSenders = 4.0
--- a/rules/serve.go
+++ b/rules/serve.go
@@ -44,9 +44,9 @@
 }
 
 // cancelOverdueCall cancels the most overdue call when the slots run out, or those for suspect routes. It
-// prevents that calls without a response use every slot until they time out. Usually a call is overdue by
-// its own overdueAfter, which is at least half a quoted time. When calls that are overdue by the mean delay
-// of their route (by that of all routes where their own has sent no response) use a quarter of the slots,
+// keeps calls without a response from using every slot until they time out. Usually a call is overdue by its
+// own overdueAfter, which is at least half a quoted time. When calls that are overdue by the mean delay of
+// their route (by that of all routes where their own has sent no response) use a quarter of the slots,
 // responses get lost and a quoted time is too long to wait: then the call that is most overdue by the mean
 // delay is cancelled.
 func (s *Sender) cancelOverdueCall() {
--- a/rules/state.go
+++ b/rules/state.go
@@ -111,11 +111,11 @@
 	lastReducedAt               Millis  // when limitShare or delayWindow was last reduced after a refusal
 	recentHandled, recentFailed decayingSum
 	handledCalls                decayingSum // over the statistics window
-	// maxRateBeforeOutage is an upper bound of the rate, in calls per millisecond, at which the route
-	// handled calls when the present or the last outage began.
+	// maxRateBeforeOutage is an upper bound of the rate, in calls per millisecond, at which the route handled
+	// calls when the present or the last outage began.
 	maxRateBeforeOutage float64
-	// outageSince and lastOutageSignAt are the first and the last sign of an outage since the last success
-	// of a call that was sent after such a sign.
+	// outageSince and lastOutageSignAt are the first and the last sign of an outage since the last success of
+	// a call that was sent after such a sign.
 	outageSince, lastOutageSignAt Millis
 	// recoveredAt is the end of the last outage, as far as this sender saw it, and outageDuration its length.
 	recoveredAt, outageDuration Millis
