--- a/rules/api.go
+++ b/rules/api.go
@@ -54,7 +54,7 @@
 	Apart   bool // its receivers are separate routes
 }
 
-// Settings configures a sender. They do not change while it runs.
+// Settings configures a sender. It does not change while the sender runs.
 type Settings struct {
 	Grades      []Grade
 	Kinds       []Kind
--- a/rules/outcomes.go
+++ b/rules/outcomes.go
@@ -13,11 +13,12 @@
 	c := n.currentCall
 	n.currentCall, n.unconfirmed = nil, e.Unconfirmed
 	s.recordCall(c, e)
-	countsAsRun := e.Result != Full && e.Result != NotConnected && e.Result != Moot && !notSent(e.Result)
+	countsAsRun := e.Result != Full && e.Result != NotConnected && e.Result != Moot &&
+		!countsAsNoTrip(e.Result)
 	if mayStillBeRunning(e.Result) {
 		s.coolDownKey(n)
 	}
-	if notSent(e.Result) {
+	if countsAsNoTrip(e.Result) {
 		n.trips--
 	}
 	if e.Result == Short {
@@ -48,7 +49,7 @@
 		return
 	}
 	// The fewer of the recent further trips succeeded, the longer the delay before the next one.
-	if e.Result != Full && e.Result != Moot && !notSent(e.Result) {
+	if e.Result != Full && e.Result != Moot && !countsAsNoTrip(e.Result) {
 		successShare := (s.succeededFurtherTrips.read(s.now, statisticsWindow) + 1) /
 			(s.furtherTrips.read(s.now, statisticsWindow) + 1)
 		n.notBefore = s.now + n.grade.QuotedTime/16*Millis(1/successShare-1)
@@ -64,8 +65,9 @@
 	return result == TimedOut || result == Reset || result == Cancelled || result == Ambiguous
 }
 
-// notSent reports whether the call of this result was not sent, so that it counts as no trip.
-func notSent(result Result) bool { return result == Short || result == Recalled }
+// countsAsNoTrip reports whether a result counts as no trip, because the call was not sent. Moot, also not
+// sent, counts as one.
+func countsAsNoTrip(result Result) bool { return result == Short || result == Recalled }
 
 // pauseForShortage pauses all sending after a call could not be sent because this sender ran short of a
 // resource: a connection, a file descriptor or space in its ledger. That says nothing about the notice or the
@@ -94,7 +96,7 @@
 		return
 	}
 	c.recorded = true
-	if !notSent(e.Result) {
+	if !countsAsNoTrip(e.Result) {
 		s.recordConnection(c, e)
 	}
 	if e.LimitTold {
@@ -109,7 +111,7 @@
 	case e.Result == Full:
 		s.addTokens(c.receiver, 1)
 		s.recordRefusal(r, c, e.Wait)
-	case e.Result == Moot || e.Result == Ambiguous || notSent(e.Result) ||
+	case e.Result == Moot || e.Result == Ambiguous || countsAsNoTrip(e.Result) ||
 		e.Result == Cancelled && !c.cancelled,
 		e.Result == TimedOut && c.timeoutShortened:
 		s.addTokens(c.receiver, 1)
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -30,7 +30,7 @@
 	// cancelAge is the multiple of the time after which a call is overdue, from which on it may be cancelled
 	// to free its slot.
 	cancelAge = 2.0
-	// tokenShare is the share of the slots that a receiver has as tokens.
+	// tokenShare is the highest number of tokens of a receiver, as a share of the slots.
 	tokenShare = 0.15
 	// deferralDiscount is the weight of the credit that a notice would still earn a quoted time later, which
 	// reduces its urgency.
--- a/rules/state.go
+++ b/rules/state.go
@@ -115,7 +115,7 @@
 	// calls when the present or the last outage began.
 	maxRateBeforeOutage float64
 	// outageSince and lastOutageSignAt are the first and the last sign of an outage since the last success of
-	// a call that was sent after such a sign.
+	// a call that was sent after such a sign. Without one, outageSince is never.
 	outageSince, lastOutageSignAt Millis
 	// recoveredAt is the end of the last outage, as far as this sender saw it, and outageDuration its length.
 	recoveredAt, outageDuration Millis
@@ -131,7 +131,7 @@
 type destination struct {
 	id          DestinationID
 	kind        *kind
-	heldNotices int // its notices that have not ended
+	heldNotices int // its notices in Sender.notices
 	// noReuseUntil is until when no connection is reused, because a receiver sent unsolicited bytes.
 	noReuseUntil Millis
 	zones        []ZoneID // in which its receivers were ever listed
@@ -174,8 +174,8 @@
 	key                               KeyID
 	credit, urgency, spaceShare       float64
 	quotedUntil, expiresAt, notBefore Millis // expiresAt is the client timeout
-	// surelyInTimeUntil is the latest time at which an outcome that is read certainly came before expiresAt,
-	// however long the notice itself waited to be read.
+	// surelyInTimeUntil is the latest time at which a response can be read that certainly came before
+	// expiresAt, however long this notice waited to be read.
 	surelyInTimeUntil       Millis
 	trips, possibleRuns     int // possibleRuns counts the trips that may have run
 	currentCall             *call
@@ -248,7 +248,7 @@
 	delays                              decayingMean
 	meanDelay                           Millis  // of recent responses from all receivers
 	maxSuspectSlots                     int     // slots that all suspect routes may use together
-	suspectSlots                        int     // slots in use at routes that were suspect when counted
+	suspectSlots                        int     // slots in use at routes that are suspect
 	shortageUntil                       Millis  // until then nothing is sent, because of a local shortage
 	shortagePause                       Millis  // length of the last such pause
 	newCalls                            []*call // begun in this turn
