--- a/rules/outcomes.go
+++ b/rules/outcomes.go
@@ -168,7 +168,7 @@
 func (s *Sender) recordFailure(r *route, c *call, result Result) {
 	r.consecutiveFailures++
 	r.recentFailed.add(s.now, s.settings.Fall, 1)
-	s.noteOutageSign(r, s.confirmsOutage(r, c),
+	s.noteOutageSign(r, s.repeatsOutageSign(r, c),
 		r.recentFailed.value >= max(r.recentHandled.read(s.now, s.settings.Fall), 2))
 	if result == Errored {
 		r.lastResponseAt = s.now
@@ -203,7 +203,7 @@
 	// destination is unavailable.
 	unavailable := wait > 0 && r.limitRemaining > ampleLimitRemaining ||
 		wait > confirmingOverloadTimes*s.settings.Fall
-	s.noteOutageSign(r, false, unavailable || s.confirmsOutage(r, c))
+	s.noteOutageSign(r, false, unavailable || s.repeatsOutageSign(r, c))
 	if c.sentAt < r.lastReducedAt {
 		return
 	}
