--- a/rules/breaker.go
+++ b/rules/breaker.go
@@ -25,9 +25,9 @@
 			max(overdueDelays*r.meanDelay, s.settings.Fall/32))
 }
 
-// repeatsOutageSign reports whether a failed or refused call is a further sign of an outage: the call was sent
-// after the first sign, and nothing was handled for two overload times. Where hundreds of senders share a
-// destination, one sender makes too few calls to see stronger evidence.
+// repeatsOutageSign reports whether a failed or refused call is a further sign of an outage: the call was
+// sent after the first sign, and nothing was handled for two overload times. Where hundreds of senders share
+// a destination, one sender makes too few calls to see stronger evidence.
 func (s *Sender) repeatsOutageSign(r *route, c *call) bool {
 	return c.sentAt >= r.outageSince &&
 		r.recentHandled.read(s.now, s.settings.Fall) < math.Exp(-confirmingOverloadTimes)
