--- a/rules/state.go
+++ b/rules/state.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// What a sender remembers, the two tools that it keeps it with, and what the settings make a notice worth. Nothing
-// is decided here.
+// This file holds the state of a sender and the structures that keep it. It takes no decisions.
 
+// breakerState is the state of a route's circuit breaker.
 type breakerState string
 
 const (
@@ -17,168 +17,193 @@
 	halfOpen breakerState = "half-open"
 )
 
-// sum is a decaying sum, brought up to date when it is read.
-type sum struct {
-	value float64
-	at    Millis
+// decayingSum is an exponentially decaying sum. The decay since the last access is applied when it is read.
+type decayingSum struct {
+	value     float64
+	updatedAt Millis
 }
 
-func (d *sum) read(now, span Millis) float64 {
-	d.value *= math.Exp(-float64((now - d.at) / span))
-	d.at = now
+func (d *decayingSum) read(now, timeConstant Millis) float64 {
+	d.value *= math.Exp(-float64((now - d.updatedAt) / timeConstant))
+	d.updatedAt = now
 	return d.value
 }
 
-func (d *sum) add(now, span Millis, x float64) { d.value = d.read(now, span) + x }
+func (d *decayingSum) add(now, timeConstant Millis, x float64) {
+	d.value = d.read(now, timeConstant) + x
+}
 
-// delays is how long answers take, the older the less each counts.
-type delays struct{ spent, answers sum }
+// decayingMean is a mean of delays in which older samples weigh exponentially less.
+type decayingMean struct{ total, count decayingSum }
 
-// add counts one more and returns the mean.
-func (d *delays) add(now, span, spent Millis) Millis {
-	d.spent.add(now, span, float64(spent))
-	d.answers.add(now, span, 1)
-	return Millis(d.spent.value / d.answers.value)
+// add adds a sample and returns the mean.
+func (d *decayingMean) add(now, timeConstant, delay Millis) Millis {
+	d.total.add(now, timeConstant, float64(delay))
+	d.count.add(now, timeConstant, 1)
+	return Millis(d.total.value / d.count.value)
 }
 
-type outcome struct {
-	at     Millis
-	failed bool
+// callOutcome is one entry of the breaker's sliding window.
+type callOutcome struct {
+	recordedAt Millis
+	failed     bool
 }
 
-// call is one trip to a receiver, with all the notices that travel on it.
+// call is one HTTP request to a receiver, which may carry several notices.
 type call struct {
-	receiver           *receiver
-	sentAt, patience   Millis // patience: when out for so long, it is overdue
-	riders             []*notice
-	waiting            int // riders without an outcome yet
-	judged, trial, off bool
-	idle               bool // went out on a connection that may have been idle
-	curbed             bool // its time-out was cut short by the client timeout
+	receiver                   *receiver
+	sentAt, overdueAfter       Millis // the call is overdue when it has been out for overdueAfter
+	notices                    []*notice
+	pendingOutcomes            int // notices without an outcome yet
+	recorded, trial, cancelled bool
+	onIdleConnection           bool // the call was sent on a connection that may have been idle
+	timeoutShortened           bool // the client timeout shortened the timeout of the call
 }
 
+// receiver is one endpoint of a destination.
 type receiver struct {
-	id         ReceiverID
-	route      *route
-	zone       ZoneID
-	standing   Standing
-	fee        float64
-	credits    float64
-	creditAt   Millis
-	answeredAt Millis
-	used       sum             // calls
-	lot        float64         // drawn once: which of equal receivers this sender prefers
-	failures   map[*grade]*sum // failures of a service grade here since its last success
-}
-
-// failed is what trips of a grade have failed here since its last success.
-func (rc *receiver) failed(g *grade) *sum {
-	if rc.failures[g] == nil {
-		rc.failures[g] = &sum{}
+	id              ReceiverID
+	route           *route
+	zone            ZoneID
+	status          Standing
+	fee             float64 // of a call to its zone
+	tokens          float64 // a call takes one; responses and time refill them
+	tokensUpdatedAt Millis
+	lastResponseAt  Millis
+	recentCalls     decayingSum
+	tieBreak        float64                 // drawn once: this sender's preference among equal receivers
+	failuresByGrade map[*grade]*decayingSum // failures of a grade here since its last success
+}
+
+// gradeFailures returns the failed trips of a grade to this receiver since its last success.
+func (rc *receiver) gradeFailures(g *grade) *decayingSum {
+	if rc.failuresByGrade[g] == nil {
+		rc.failuresByGrade[g] = &decayingSum{}
 	}
-	return rc.failures[g]
+	return rc.failuresByGrade[g]
 }
 
-// route is what has a breaker, a delay window, a wait and a pace of its own: a destination, or where a
-// destination's receivers are separate routes, one of these.
+// route is the unit that has its own breaker, delay window, wait and pace. It is a whole destination, or a
+// single receiver where the receivers of a destination are separate routes.
 type route struct {
 	id          ReceiverID // of its first receiver
 	destination *destination
 	receivers   []*receiver
-	out         []*call
-
-	state                  breakerState
-	outcomes               window
-	reopenAt               Millis
-	proved, run            int     // trials succeeded; failures since the last success
-	owed                   float64 // how overdue its calls are together, in patiences
-	delays                 delays
-	mean, best, answeredAt Millis
-	window                 float64
-	waitUntil, backoff     Millis
-	toldUntil              Millis  // until when it has told to wait: no more than waitUntil
-	limitRate, limitLeft   float64 // as told, a millisecond, and the share that is left
-	listedRate             float64 // as listed, a millisecond
-	share                  float64 // of the limit, that this sender may use
-	yieldedAt              Millis
-	handled, failed        sum
-	served                 sum     // calls handled, over the statistics window
-	servedRate             float64 // a millisecond, as the present or last outage began, and no less than it may have been
-	badSince, badAt        Millis  // first and last sign of an outage with no success of a later call
-	returnedAt, downFor    Millis  // the end of the last outage, as far as seen, and its length
-	pacedFrom              Millis
-	down, sure             bool    // an outage is sure and goes on
-	phase                  float64 // part of the span between calls until the next one
-	listedAt, madeAt       Millis  // when it had a receiver last, and its first
-	order                  uint64  // of its making
-	stirs, gone            bool    // stirs: it is among those with something to look after
-}
-
+	outstanding []*call
+
+	state                                breakerState
+	outcomes                             slidingWindow
+	halfOpenAt                           Millis
+	succeededTrials, consecutiveFailures int
+	overdueTotal                         float64 // sum over its calls of waiting time / overdueAfter
+	delays                               decayingMean
+	meanDelay, bestDelay, lastResponseAt Millis
+	delayWindow                          float64
+	waitUntil, backoff                   Millis
+	// requestedWaitUntil is the end of the wait that the receivers requested. It is never after waitUntil.
+	requestedWaitUntil Millis
+	// limitRate is the limit that the receivers reported, in calls per millisecond, and limitRemaining the
+	// share of it that is left.
+	limitRate, limitRemaining float64
+	// listedRate is the rate in the receiver list, in calls per millisecond.
+	listedRate                  float64
+	limitShare                  float64 // share of the limit that this sender may use
+	lastReducedAt               Millis  // when limitShare or delayWindow was last reduced after a refusal
+	recentHandled, recentFailed decayingSum
+	handledCalls                decayingSum // over the statistics window
+	// maxRateBeforeOutage is an upper bound of the rate, in calls per millisecond, at which the route handled
+	// calls when the present or the last outage began.
+	maxRateBeforeOutage float64
+	// outageSince and lastOutageSignAt are the first and the last sign of an outage since the last success of
+	// a call that was sent after such a sign. Without one, outageSince is never.
+	outageSince, lastOutageSignAt Millis
+	// recoveredAt is the end of the last outage, as far as this sender saw it, and outageDuration its length.
+	recoveredAt, outageDuration Millis
+	pacingStart                 Millis
+	down, outageConfirmed       bool    // down may be set on a suspicion; outageConfirmed implies down
+	pacingPhase                 float64 // share of the interval between calls to wait from pacingStart
+	lastListedAt, createdAt     Millis  // lastListedAt: when it last had a receiver
+	creationOrder               uint64
+	active, removed             bool // active: the route is in Sender.active
+}
+
+// destination is a destination with its routes and the notices that wait for it.
 type destination struct {
-	id           DestinationID
-	kind         *kind
-	held         int      // notices of its own that are not over
-	surplusUntil Millis   // its receivers sent more than they were asked for: until then no connection is used again
-	zones        []ZoneID // in which receivers of it were ever listed
-
-	waiting []*notice // held and not out, in no order
-	plain   byUntil   // of these, those that no earlier trip, rest or key holds back: the first to end in front
-	special []*notice // and the others
-	place   int       // among the destinations that have some waiting
-
-	fullAt        uint64 // the turn in which it takes no more
-	lookedAt      uint64 // the turn in which the rest was found out
-	opensAt       Millis
-	plainAt       Millis // opensAt of its plain notices
-	listed, takes bool
-	routes        []*route
-}
-
-// keyLine holds the notices of one key in the order in which they were taken.
-type keyLine struct {
-	line      []*notice
-	restUntil Millis
-}
-
-// grade is a service grade with the credit that its notices asked for and earned, and its weight.
+	id          DestinationID
+	kind        *kind
+	heldNotices int // its notices in Sender.notices
+	// noReuseUntil is until when no connection is reused, because a receiver sent unsolicited bytes.
+	noReuseUntil Millis
+	zones        []ZoneID // in which its receivers were ever listed
+
+	waiting []*notice // held notices without a call, in no order
+	// unrestricted is the heap of the waiting notices that neither an earlier trip, a cooldown nor a key
+	// delays. The first to expire is at the front.
+	unrestricted byExpiry
+	restricted   []*notice // the other waiting notices
+	waitingIndex int       // in Sender.waitingDestinations
+
+	fullInTurn     uint64 // the turn in which it was found to accept no more
+	examinedInTurn uint64 // the turn in which the fields below were computed
+	availableAt    Millis
+	// unrestrictedSendableAt is when the notices in unrestricted may be sent at the earliest.
+	unrestrictedSendableAt Millis
+	listed, accepting      bool
+	routes                 []*route
+}
+
+// keyQueue holds the notices of one key in the order in which they were accepted.
+type keyQueue struct {
+	notices       []*notice
+	cooldownUntil Millis
+}
+
+// grade is a service grade with the credit that its ended notices could have earned, the credit that they
+// earned, and its weight.
 type grade struct {
 	Grade
-	asked, earned sum
-	weight        float64
+	requestedCredit, earnedCredit decayingSum
+	weight                        float64
 }
 
+// notice is a notice that this sender holds, or that ended while its call was out.
 type notice struct {
-	id                         NoticeID
-	grade                      *grade
-	destination                *destination
-	key                        KeyID
-	credit, urgency, room      float64
-	quotedAt, until, restUntil Millis
-	surelyUntil                Millis // what is heard by then came before until, however late the notice was read
-	trips, ran                 int    // and those that may have run
-	out                        *call
-	mayHaveRun, zoneUnknown    bool
-	ranAt                      Millis // the first trip that may have run
-	ranZone                    ZoneID
-	over                       bool
-	unconfirmed                bool   // the outcome of its last trip may be doubted yet
-	unconfirmedUntil           Millis // its last trip may turn out to have run
-	opens                      Millis // as found out in this turn
-	order                      uint64 // in which it was taken
-	waits, isPlain             bool   // it is in its destination's lists
-	place, among               int    // where there: in waiting, and in plain or special
-}
-
-// byUntil is a heap of notices by their client timeout.
-type byUntil []*notice
-
-func (h byUntil) Len() int { return len(h) }
-func (h byUntil) Less(i, j int) bool {
-	return h[i].until < h[j].until || h[i].until == h[j].until && h[i].order < h[j].order
-}
-func (h byUntil) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].among, h[j].among = i, j }
-func (h *byUntil) Push(x any)   { n := x.(*notice); n.among = len(*h); *h = append(*h, n) }
-func (h *byUntil) Pop() any {
+	id                                NoticeID
+	grade                             *grade
+	destination                       *destination
+	key                               KeyID
+	credit, urgency, spaceShare       float64
+	quotedUntil, expiresAt, notBefore Millis // expiresAt is the client timeout
+	// surelyInTimeUntil is the latest time at which a response can be read that certainly came before
+	// expiresAt, however long this notice waited to be read.
+	surelyInTimeUntil       Millis
+	trips, possibleRuns     int // possibleRuns counts the trips that may have run
+	currentCall             *call
+	mayHaveRun, zoneUnknown bool // a trip may have run; the zone of that trip is not known
+	firstRunAt              Millis
+	runZone                 ZoneID
+	ended                   bool
+	unconfirmed             bool   // the outcome of its last trip may yet be retracted
+	unconfirmedUntil        Millis // until then the last trip may turn out to have run
+	sendableAt              Millis // as computed in this turn
+	acceptOrder             uint64
+	waiting, unrestricted   bool // waiting: the notice is in the lists of its destination
+	// waitingIndex is the index in destination.waiting, and listIndex the one in destination.unrestricted or
+	// destination.restricted.
+	waitingIndex, listIndex int
+}
+
+// byExpiry is a heap of notices ordered by their client timeout.
+type byExpiry []*notice
+
+func (h byExpiry) Len() int { return len(h) }
+func (h byExpiry) Less(i, j int) bool {
+	return h[i].expiresAt < h[j].expiresAt ||
+		h[i].expiresAt == h[j].expiresAt && h[i].acceptOrder < h[j].acceptOrder
+}
+func (h byExpiry) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].listIndex, h[j].listIndex = i, j }
+func (h *byExpiry) Push(x any)   { n := x.(*notice); n.listIndex = len(*h); *h = append(*h, n) }
+func (h *byExpiry) Pop() any {
 	old := *h
 	n := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -186,67 +211,67 @@
 	return n
 }
 
-// connections counts calls, and those that broke or were swallowed.
-type connections struct{ calls, broke sum }
+// connectionStats counts calls and those of them that were lost. recordConnection tells what counts as lost.
+type connectionStats struct{ calls, lost decayingSum }
 
-// kind is a kind of destination with the calls made to it, and those that found no connection.
+// kind is a kind of destination with statistics of the calls to all destinations of this kind.
 type kind struct {
 	Kind
-	made        connections
-	waits, told sum
+	connections          connectionStats // lost: refused connections only
+	waitTotal, waitCount decayingSum     // of requested waits
 }
 
-// Sender decides for one sender.
+// Sender holds the state of one sender and takes its decisions.
 type Sender struct {
-	settings     Settings
-	chance       uint64
-	now          Millis
-	turns        uint64
-	actions      []Action
-	notices      map[NoticeID]*notice
-	held         int            // notices that are not over
-	roomTaken    float64        // by them, of the room at this sender
-	taken        uint64         // notices so far
-	waiting      []*destination // with notices that wait
-	stirred      []*route       // with calls out or a breaker that is not closed, by order
-	routesMade   uint64
-	destinations map[DestinationID]*destination
-	routes       []*route
-	receivers    map[ReceiverID]*receiver
-	keys         map[KeyID]*keyLine
-	unconfirmed  map[NoticeID]*notice // over, and still in the lines of their keys
-	portfolios   []sum
-	kinds        []*kind
-	grades       []*grade
-	credits      float64 // of a receiver, at most
-	slotsOut     int
-	delays       delays
-	usual        Millis  // mean delay of all recent answers
-	doubted      int     // slots that all doubtful routes may hold together
-	doubtOut     int     // calls out at routes that were doubtful as the turn began, and those sent to such since
-	shortUntil   Millis  // nothing is sent, for a shortage of this sender's own
-	shortFor     Millis  // the last such pause
-	fresh        []*call // calls begun in this turn
-	further, won sum     // further trips and those that succeeded
-	idle, busy   connections
-	timerAt      Millis
-	watchAt      Millis
-	tidyAt       Millis
-}
-
-// remember makes a sender with an empty memory.
-func remember(seed uint64, settings Settings) *Sender {
+	settings                            Settings
+	randomState                         uint64
+	now                                 Millis
+	turnNumber                          uint64 // of the present call of Decide
+	actions                             []Action
+	notices                             map[NoticeID]*notice
+	heldCount                           int     // notices that have not ended
+	usedSpace                           float64 // share of this sender's space that they take
+	acceptedCount                       uint64
+	waitingDestinations                 []*destination // those with waiting notices
+	active                              []*route       // see activeRoutes
+	routesCreated                       uint64
+	destinations                        map[DestinationID]*destination
+	routes                              []*route
+	receivers                           map[ReceiverID]*receiver
+	keys                                map[KeyID]*keyQueue
+	unconfirmed                         map[NoticeID]*notice // ended notices still in their key's queue
+	portfolioNotices                    []decayingSum
+	kinds                               []*kind
+	grades                              []*grade
+	maxTokens                           float64 // of a receiver
+	slotsInUse                          int
+	delays                              decayingMean
+	meanDelay                           Millis  // of recent responses from all receivers
+	maxSuspectSlots                     int     // slots that all suspect routes may use together
+	suspectSlots                        int     // slots in use at routes that are suspect
+	shortageUntil                       Millis  // until then nothing is sent, because of a local shortage
+	shortagePause                       Millis  // length of the last such pause
+	newCalls                            []*call // begun in this turn
+	furtherTrips, succeededFurtherTrips decayingSum
+	idleConnections, busyConnections    connectionStats
+	timerAt                             Millis
+	watchListAt                         Millis
+	cleanUpAt                           Millis
+}
+
+// newSender returns a sender with empty state.
+func newSender(seed uint64, settings Settings) *Sender {
 	s := &Sender{
-		settings:     settings,
-		chance:       seed,
-		notices:      map[NoticeID]*notice{},
-		destinations: map[DestinationID]*destination{},
-		receivers:    map[ReceiverID]*receiver{},
-		keys:         map[KeyID]*keyLine{},
-		unconfirmed:  map[NoticeID]*notice{},
-		portfolios:   make([]sum, len(settings.Quotas)),
-		timerAt:      never,
-		watchAt:      never,
+		settings:         settings,
+		randomState:      seed,
+		notices:          map[NoticeID]*notice{},
+		destinations:     map[DestinationID]*destination{},
+		receivers:        map[ReceiverID]*receiver{},
+		keys:             map[KeyID]*keyQueue{},
+		unconfirmed:      map[NoticeID]*notice{},
+		portfolioNotices: make([]decayingSum, len(settings.Quotas)),
+		timerAt:          never,
+		watchListAt:      never,
 	}
 	for _, g := range settings.Grades {
 		s.grades = append(s.grades, &grade{Grade: g})
@@ -257,16 +282,16 @@
 	return s
 }
 
-// random is a permuted congruential generator's next number, from 0 to below 1.
+// random returns the next number of a permuted congruential generator, at least 0 and below 1.
 func (s *Sender) random() float64 {
-	old := s.chance
-	s.chance = old*6364136223846793005 + 1442695040888963407
+	old := s.randomState
+	s.randomState = old*6364136223846793005 + 1442695040888963407
 	x := uint32(((old >> 18) ^ old) >> 27)
 	r := uint32(old >> 59)
 	return float64(x>>r|x<<(-r&31)) / (1 << 32)
 }
 
-// destination is what is remembered of a destination, from the first mention on.
+// destination returns the state of a destination, which is created at the first mention of its id.
 func (s *Sender) destination(id DestinationID) *destination {
 	d := s.destinations[id]
 	if d == nil {
@@ -276,21 +301,22 @@
 	return d
 }
 
-// place makes room for a new receiver: a route of its own, or a place on its destination's.
-func (s *Sender) place(entry Entry, window float64) *receiver {
+// addReceiver creates a receiver, with a route of its own or on the route of its destination.
+func (s *Sender) addReceiver(entry Entry, initialWindow float64) *receiver {
 	d := s.destination(entry.Destination)
 	if int(entry.Kind) < len(s.kinds) {
 		d.kind = s.kinds[entry.Kind]
 	}
 	if len(d.routes) == 0 || d.kind.Apart {
-		s.routesMade++
-		fresh := &route{id: entry.Receiver, destination: d, state: closed, window: window, share: 1,
-			badSince: never, returnedAt: -never, order: s.routesMade, madeAt: s.now}
-		d.routes = append(d.routes, fresh)
-		s.routes = append(s.routes, fresh)
+		s.routesCreated++
+		created := &route{id: entry.Receiver, destination: d, state: closed, delayWindow: initialWindow,
+			limitShare: 1, outageSince: never, recoveredAt: -never,
+			creationOrder: s.routesCreated, createdAt: s.now}
+		d.routes = append(d.routes, created)
+		s.routes = append(s.routes, created)
 	}
-	rc := &receiver{id: entry.Receiver, zone: entry.Zone, credits: s.credits, creditAt: s.now, lot: s.random(),
-		failures: map[*grade]*sum{}}
+	rc := &receiver{id: entry.Receiver, zone: entry.Zone, tokens: s.maxTokens, tokensUpdatedAt: s.now,
+		tieBreak: s.random(), failuresByGrade: map[*grade]*decayingSum{}}
 	if d.kind.Apart && int(entry.Zone) < len(s.settings.ZoneFees) {
 		rc.fee = s.settings.ZoneFees[entry.Zone]
 	}
@@ -303,74 +329,76 @@
 	return rc
 }
 
-// hold begins to remember a notice.
-func (s *Sender) hold(n *notice) {
-	s.taken++
-	n.order = s.taken
+// holdNotice adds an accepted notice to the hold.
+func (s *Sender) holdNotice(n *notice) {
+	s.acceptedCount++
+	n.acceptOrder = s.acceptedCount
 	s.notices[n.id] = n
-	s.held++
-	s.roomTaken += n.room
-	n.destination.held++
-	s.wait(n)
+	s.heldCount++
+	s.usedSpace += n.spaceShare
+	n.destination.heldNotices++
+	s.enqueue(n)
 }
 
-// wait puts a notice that has no trip out among those that wait for its destination.
-func (s *Sender) wait(n *notice) {
+// enqueue adds a notice without a call to the waiting notices of its destination.
+func (s *Sender) enqueue(n *notice) {
 	d := n.destination
 	if len(d.waiting) == 0 {
-		d.place = len(s.waiting)
-		s.waiting = append(s.waiting, d)
+		d.waitingIndex = len(s.waitingDestinations)
+		s.waitingDestinations = append(s.waitingDestinations, d)
 	}
-	n.waits, n.place = true, len(d.waiting)
+	n.waiting, n.waitingIndex = true, len(d.waiting)
 	d.waiting = append(d.waiting, n)
-	s.sort(n)
+	s.addToList(n)
 }
 
-// sort puts a waiting notice among the plain or the special ones.
-func (s *Sender) sort(n *notice) {
+// addToList adds a waiting notice to the unrestricted or the restricted notices of its destination.
+func (s *Sender) addToList(n *notice) {
 	d := n.destination
-	if n.isPlain = n.key == 0 && !n.mayHaveRun && n.restUntil <= s.now && n.trips < s.settings.TripLimit; n.isPlain {
-		heap.Push(&d.plain, n)
+	if n.unrestricted = n.key == 0 && !n.mayHaveRun &&
+		n.notBefore <= s.now && n.trips < s.settings.TripLimit; n.unrestricted {
+		heap.Push(&d.unrestricted, n)
 		return
 	}
-	n.among = len(d.special)
-	d.special = append(d.special, n)
+	n.listIndex = len(d.restricted)
+	d.restricted = append(d.restricted, n)
 }
 
-// leave takes a notice away from those that wait.
-func (s *Sender) leave(n *notice) {
-	if !n.waits {
+// dequeue removes a notice from the waiting notices of its destination.
+func (s *Sender) dequeue(n *notice) {
+	if !n.waiting {
 		return
 	}
-	n.waits = false
+	n.waiting = false
 	d := n.destination
 	last := d.waiting[len(d.waiting)-1]
-	d.waiting[n.place], last.place = last, n.place
-	d.waiting = trim(d.waiting)
-	s.unsort(n)
+	d.waiting[n.waitingIndex], last.waitingIndex = last, n.waitingIndex
+	d.waiting = dropLast(d.waiting)
+	s.removeFromList(n)
 	if len(d.waiting) == 0 {
-		last := s.waiting[len(s.waiting)-1]
-		s.waiting[d.place], last.place = last, d.place
-		s.waiting = trim(s.waiting)
+		last := s.waitingDestinations[len(s.waitingDestinations)-1]
+		s.waitingDestinations[d.waitingIndex], last.waitingIndex = last, d.waitingIndex
+		s.waitingDestinations = dropLast(s.waitingDestinations)
 	}
 }
 
-func (s *Sender) unsort(n *notice) {
+// removeFromList is the reverse of addToList.
+func (s *Sender) removeFromList(n *notice) {
 	d := n.destination
 	switch {
-	case n.among < 0: // nextPlain has taken it out
-	case n.isPlain:
-		heap.Remove(&d.plain, n.among)
+	case n.listIndex < 0: // popUnrestricted has removed it
+	case n.unrestricted:
+		heap.Remove(&d.unrestricted, n.listIndex)
 	default:
-		last := d.special[len(d.special)-1]
-		d.special[n.among], last.among = last, n.among
-		d.special = trim(d.special)
+		last := d.restricted[len(d.restricted)-1]
+		d.restricted[n.listIndex], last.listIndex = last, n.listIndex
+		d.restricted = dropLast(d.restricted)
 	}
-	n.among = -1
+	n.listIndex = -1
 }
 
-// trim drops the last of a list, and the list with its last.
-func trim[T any](list []*T) []*T {
+// dropLast removes the last element of a list. It returns nil for an empty list, so that its memory is freed.
+func dropLast[T any](list []*T) []*T {
 	list[len(list)-1] = nil
 	if len(list) == 1 {
 		return nil
@@ -378,69 +406,75 @@
 	return list[:len(list)-1]
 }
 
-// nextPlain takes out the plain notice that ends first.
-func (d *destination) nextPlain() *notice {
-	n := heap.Pop(&d.plain).(*notice)
-	n.among = -1
+// popUnrestricted removes and returns the unrestricted notice that expires first.
+func (d *destination) popUnrestricted() *notice {
+	n := heap.Pop(&d.unrestricted).(*notice)
+	n.listIndex = -1
 	return n
 }
 
-// rested moves notices whose rest is over among the plain ones.
-func (s *Sender) rested(d *destination) {
-	for i := 0; i < len(d.special); i++ {
-		if n := d.special[i]; n.key == 0 && !n.mayHaveRun && n.restUntil <= s.now && n.trips < s.settings.TripLimit {
-			s.unsort(n)
-			s.sort(n)
+// moveToUnrestricted moves the restricted notices that may now be sent at any time to the unrestricted ones.
+func (s *Sender) moveToUnrestricted(d *destination) {
+	for i := 0; i < len(d.restricted); i++ {
+		if n := d.restricted[i]; n.key == 0 && !n.mayHaveRun &&
+			n.notBefore <= s.now && n.trips < s.settings.TripLimit {
+			s.removeFromList(n)
+			s.addToList(n)
 			i--
 		}
 	}
 }
 
-// stir notes that a route has something to look after each turn.
-func (s *Sender) stir(r *route) {
-	if r.stirs {
+// activate adds a route to those that are visited in each turn.
+func (s *Sender) activate(r *route) {
+	if r.active {
 		return
 	}
-	r.stirs = true
-	at, _ := slices.BinarySearchFunc(s.stirred, r, func(a, b *route) int { return int(a.order) - int(b.order) })
-	s.stirred = slices.Insert(s.stirred, at, r)
+	r.active = true
+	at, _ := slices.BinarySearchFunc(s.active, r, func(a, b *route) int {
+		return int(a.creationOrder) - int(b.creationOrder)
+	})
+	s.active = slices.Insert(s.active, at, r)
 }
 
-// stirring is the routes with calls out or a breaker that is not closed, in the order of their making.
-func (s *Sender) stirring() []*route {
-	s.stirred = slices.DeleteFunc(s.stirred, func(r *route) bool {
-		r.stirs = !r.gone && (r.state != closed || len(r.out) > 0)
-		if !r.stirs {
-			r.owed = 0
+// activeRoutes returns the routes that have outstanding calls or a breaker that is not closed, in the order
+// of their creation. It drops the others from Sender.active.
+func (s *Sender) activeRoutes() []*route {
+	s.active = slices.DeleteFunc(s.active, func(r *route) bool {
+		r.active = !r.removed && (r.state != closed || len(r.outstanding) > 0)
+		if !r.active {
+			r.overdueTotal = 0
 		}
-		return !r.stirs
+		return !r.active
 	})
-	return s.stirred
+	return s.active
 }
 
-// forget lets go of a notice that is over; while its trip is out, it keeps its place in the key's line.
-func (s *Sender) forget(n *notice) {
-	if !n.over {
-		n.over = true
-		s.held--
-		if s.roomTaken -= n.room; s.held == 0 {
-			s.roomTaken = 0 // what rounding left
+// releaseNotice ends a notice and frees what it takes. While its call is out, the notice keeps its place in
+// the queue of its key.
+func (s *Sender) releaseNotice(n *notice) {
+	if !n.ended {
+		n.ended = true
+		s.heldCount--
+		if s.usedSpace -= n.spaceShare; s.heldCount == 0 {
+			s.usedSpace = 0 // drops rounding errors
 		}
 	}
-	if n.out != nil {
+	if n.currentCall != nil {
 		return
 	}
-	s.leave(n)
+	s.dequeue(n)
 	delete(s.notices, n.id)
-	n.destination.held--
-	s.release(n.destination)
-	s.leaveLine(n)
+	n.destination.heldNotices--
+	s.releaseDestination(n.destination)
+	s.leaveKeyQueue(n)
 }
 
-// leaveLine lets the next notice of a key go, once what the last trip of this one came to is sure.
-func (s *Sender) leaveLine(n *notice) {
-	k := s.keys[n.key]
-	if k == nil {
+// leaveKeyQueue removes an ended notice from the queue of its key, which lets the next one be sent. While the
+// outcome of its last trip is unconfirmed, the notice stays in the queue.
+func (s *Sender) leaveKeyQueue(n *notice) {
+	queue := s.keys[n.key]
+	if queue == nil {
 		return
 	}
 	if n.unconfirmed {
@@ -448,30 +482,33 @@
 		return
 	}
 	delete(s.unconfirmed, n.id)
-	k.line = slices.DeleteFunc(k.line, func(o *notice) bool { return o == n })
-	if len(k.line) == 0 && k.restUntil <= s.now {
+	queue.notices = slices.DeleteFunc(queue.notices, func(o *notice) bool { return o == n })
+	if len(queue.notices) == 0 && queue.cooldownUntil <= s.now {
 		delete(s.keys, n.key)
 	}
 }
 
-// release forgets a destination of which nothing is listed or held.
-func (s *Sender) release(d *destination) {
-	if d.held == 0 && len(d.routes) == 0 {
+// releaseDestination deletes a destination that has neither routes nor held notices.
+func (s *Sender) releaseDestination(d *destination) {
+	if d.heldNotices == 0 && len(d.routes) == 0 {
 		delete(s.destinations, d.id)
 	}
 }
 
-// tidy forgets what is gone, so that a sender that runs for long holds no more than one just started: receivers
-// without a call out, keys without notices or a rest, and routes that had no receiver while the breaker's window
-// passed. A destination's last route outlives a change of all its receivers.
-func (s *Sender) tidy() {
-	if s.now < s.tidyAt {
+// cleanUp deletes state that is no longer needed, so that the memory of a long-running sender does not grow:
+// receivers that are gone from the list and have no outstanding call, keys without notices or a cooldown, and
+// routes without receivers. The last route of a destination is kept while the destination has held notices, a
+// wait, or had a receiver within the breaker's statistics window: so the state of its breaker survives when
+// all its receivers are replaced.
+func (s *Sender) cleanUp() {
+	if s.now < s.cleanUpAt {
 		return
 	}
-	s.tidyAt = s.now + s.settings.Fall
+	s.cleanUpAt = s.now + s.settings.Fall
 	s.routes = slices.DeleteFunc(s.routes, func(r *route) bool {
 		r.receivers = slices.DeleteFunc(r.receivers, func(rc *receiver) bool {
-			if rc.standing != Gone || s.now < rc.route.toldUntil || slices.ContainsFunc(r.out, func(c *call) bool { return c.receiver == rc }) {
+			if rc.status != Gone || s.now < rc.route.requestedWaitUntil ||
+				slices.ContainsFunc(r.outstanding, func(c *call) bool { return c.receiver == rc }) {
 				return false
 			}
 			delete(s.receivers, rc.id)
@@ -480,60 +517,61 @@
 		d := r.destination
 		switch {
 		case len(r.receivers) > 0:
-			r.listedAt = s.now
+			r.lastListedAt = s.now
 			return false
-		case len(d.routes) == 1 && (d.held > 0 || s.now < max(r.listedAt+statisticsWindow, r.waitUntil)):
+		case len(d.routes) == 1 &&
+			(d.heldNotices > 0 || s.now < max(r.lastListedAt+statisticsWindow, r.waitUntil)):
 			return false
 		}
 		d.routes = slices.DeleteFunc(d.routes, func(o *route) bool { return o == r })
-		r.gone = true
-		s.release(d)
+		r.removed = true
+		s.releaseDestination(d)
 		return true
 	})
-	for id, k := range s.keys {
-		if len(k.line) == 0 && k.restUntil <= s.now {
+	for id, queue := range s.keys {
+		if len(queue.notices) == 0 && queue.cooldownUntil <= s.now {
 			delete(s.keys, id)
 		}
 	}
 }
 
-// worth is the credit that a notice earns when it is handled at a time.
-func (s *Sender) worth(n *notice, at Millis) float64 {
-	switch late := float64((at - n.quotedAt) / (n.until - n.quotedAt)); {
-	case at >= n.until:
+// creditAt returns the credit that a notice earns if it is handled at a given time.
+func (s *Sender) creditAt(n *notice, at Millis) float64 {
+	switch lateness := float64((at - n.quotedUntil) / (n.expiresAt - n.quotedUntil)); {
+	case at >= n.expiresAt:
 		return 0
-	case at <= n.quotedAt:
+	case at <= n.quotedUntil:
 		return n.credit
 	case s.settings.HalvesLate:
-		quoted := float64((at - n.quotedAt) / n.grade.QuotedTime)
-		return n.credit * max(n.grade.LateShare, math.Exp2(-quoted))
+		quotedTimes := float64((at - n.quotedUntil) / n.grade.QuotedTime)
+		return n.credit * max(n.grade.LateShare, math.Exp2(-quotedTimes))
 	default:
-		return n.credit * (1 - (1-n.grade.LateShare)*late)
+		return n.credit * (1 - (1-n.grade.LateShare)*lateness)
 	}
 }
 
-// window is the outcomes of a sliding window, oldest first.
-type window struct {
-	outcomes []outcome
+// slidingWindow holds the call outcomes that the breaker counts, oldest first.
+type slidingWindow struct {
+	outcomes []callOutcome
 	failures int
 }
 
-func (w *window) add(o outcome) {
+func (w *slidingWindow) add(o callOutcome) {
 	w.outcomes = append(w.outcomes, o)
 	if o.failed {
 		w.failures++
 	}
 }
 
-// tally counts the outcomes since a time, and forgets those before.
-func (w *window) tally(since Millis) (calls, failures int) {
-	gone := 0
-	for gone < len(w.outcomes) && w.outcomes[gone].at < since {
-		if w.outcomes[gone].failed {
+// countSince returns the number of calls and of failures since a time, and drops older outcomes.
+func (w *slidingWindow) countSince(since Millis) (calls, failures int) {
+	expired := 0
+	for expired < len(w.outcomes) && w.outcomes[expired].recordedAt < since {
+		if w.outcomes[expired].failed {
 			w.failures--
 		}
-		gone++
+		expired++
 	}
-	w.outcomes = w.outcomes[gone:]
+	w.outcomes = w.outcomes[expired:]
 	return len(w.outcomes), w.failures
 }
