--- a/cmd/chuteweir/clock_test.go
+++ b/cmd/chuteweir/clock_test.go
@@ -8,69 +8,73 @@
 	"chuteweir.example/chuteweir/internal/standin"
 )
 
-// stepWallClock makes a killed sender's ledger look as if the wall clock had been stepped since it was written.
-func (w *world) stepWallClock(by time.Duration) {
-	w.t.Helper()
-	const room = 1 << 20
-	old, owed, err := ledger.Open(w.state, room)
-	w.must(err)
-	old.Close()
-	fresh, _, err := ledger.Open(w.t.TempDir(), room)
-	w.must(err)
-	w.state = fresh.Folder()
-	for _, n := range owed {
-		n.Until = n.Until.Add(-by)
-		n.TakenAt.Wall -= by.Milliseconds()
-		w.must(fresh.Taken(n))
-		for _, trip := range n.Ran {
-			trip.At = trip.At.Add(-by)
-			w.must(fresh.Trip(n.Number, trip))
+// stepWallClock rewrites a killed sender's ledger with all wall-clock times shifted back by the step, as if the wall clock
+// had been stepped by it since the ledger was written.
+func (env *environment) stepWallClock(step time.Duration) {
+	env.t.Helper()
+	const capacity = 1 << 20
+	previous, pending, err := ledger.Open(env.stateDirectory, capacity)
+	env.must(err)
+	previous.Close()
+	fresh, _, err := ledger.Open(env.t.TempDir(), capacity)
+	env.must(err)
+	env.stateDirectory = fresh.Folder()
+	for _, notice := range pending {
+		notice.Until = notice.Until.Add(-step)
+		notice.TakenAt.Wall -= step.Milliseconds()
+		env.must(fresh.Taken(notice))
+		for _, trip := range notice.Ran {
+			trip.At = trip.At.Add(-step)
+			env.must(fresh.Trip(notice.Number, trip))
 		}
 	}
 	_, err = fresh.Flush()
-	w.must(err)
+	env.must(err)
 	fresh.Close()
 }
 
-func TestHeldNoticeOutlivesAStepOfTheWallClock(t *testing.T) {
-	for name, by := range map[string]time.Duration{"forward": time.Hour, "back": -time.Hour} {
+// Guards against a restarted sender that trusts the wall clock alone: after a step forward it would end held notices at
+// once, and after a step back it would keep them far beyond their client timeout.
+func TestHeldNoticeSurvivesWallClockStep(t *testing.T) {
+	for name, step := range map[string]time.Duration{"forward": time.Hour, "back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := begin(t)
-			w.answers(func(*standin.Asked) standin.Reply { return standin.Reply{Never: true} })
-			w.hand("note", "may-repeat", 4000, 1)
-			w.await(1, "receiver")
-			w.kill()
-			w.stepWallClock(by)
-			w.hear(nil)
-			if by < 0 {
-				w.start()
-				w.await(1, "platform") // its time ends as if the clock had not been stepped
+			env := startEnvironment(t)
+			env.respondWith(func(*standin.Asked) standin.Reply { return standin.Reply{Never: true} })
+			env.submit("note", "may-repeat", 4000, 1)
+			env.awaitLines(1, "receiver")
+			env.killSender()
+			env.stepWallClock(step)
+			env.setTrace(nil)
+			if step < 0 {
+				env.startSender()
+				env.awaitLines(1, "platform") // its client timeout ends as if the clock had not been stepped
 				return
 			}
-			w.answers(fine)
-			w.start()
-			w.await(1, "receiver")
+			env.respondWith(respondOK)
+			env.startSender()
+			env.awaitLines(1, "receiver")
 		})
 	}
 }
 
-func TestHeldNoticeKeepsItsTimeOverAStepOfTheWallClockByLessThanASecond(t *testing.T) {
-	const left = 4 * time.Second
-	for name, by := range map[string]time.Duration{"forward": 900 * time.Millisecond, "back": -900 * time.Millisecond} {
+// Guards against wall-clock steps of less than a second shifting the client timeout of a held notice.
+func TestHeldNoticeKeepsItsTimeoutAfterSubsecondWallClockStep(t *testing.T) {
+	const timeout = 4 * time.Second
+	for name, step := range map[string]time.Duration{"forward": 900 * time.Millisecond, "back": -900 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := begin(t)
-			w.answers(func(*standin.Asked) standin.Reply { return standin.Reply{Never: true} })
-			up := time.Now().Add(left)
-			w.hand("note", "held", int(left.Milliseconds()), 1)
-			w.await(1, "receiver")
-			w.kill()
-			w.stepWallClock(by)
-			w.start()
-			w.endsBy("held", up.Add(lostAfter))
-			if early := time.Until(up); early > lostAfter {
-				t.Errorf("ended %v before its time", early)
+			env := startEnvironment(t)
+			env.respondWith(func(*standin.Asked) standin.Reply { return standin.Reply{Never: true} })
+			deadline := time.Now().Add(timeout)
+			env.submit("note", "held", int(timeout.Milliseconds()), 1)
+			env.awaitLines(1, "receiver")
+			env.killSender()
+			env.stepWallClock(step)
+			env.startSender()
+			env.awaitReport("held", deadline.Add(maxReportDelay))
+			if early := time.Until(deadline); early > maxReportDelay {
+				t.Errorf("ended %v before its client timeout", early)
 			}
 		})
 	}
--- a/cmd/chuteweir/commands.go
+++ b/cmd/chuteweir/commands.go
@@ -20,182 +20,188 @@
 	"github.com/spf13/cobra"
 )
 
-// commands is the command line of a person or a script.
-func commands() *cobra.Command {
+// rootCommand returns the command line for operators and scripts.
+func rootCommand() *cobra.Command {
 	root := cli.Prepare(&cobra.Command{
 		Use:   "chuteweir",
-		Short: "Delivers notices to many destinations, and keeps its decisions good when they fail",
-		Long: `chuteweir takes notices from clients over HTTP/1.1, keeps each until its client timeout, and brings it to its
+		Short: "Deliver notices to many destinations, some of which may be failing",
+		Long: `chuteweir accepts notices from clients over HTTP/1.1, keeps each until its client timeout, and delivers it to its
 destination by a call to one of the destination's receivers.
 
-Without arguments it serves what PROXY_CONFIG and PROXY_STATE name. Exit status: 0 done, 1 failed, 2 wrong use.`,
+Without arguments it runs a sender with the configuration file PROXY_CONFIG and the state directory PROXY_STATE.
+Exit status: 0 success, 1 failure, 2 wrong usage.`,
 		Example: `  chuteweir try
   chuteweir config check sender.toml
   chuteweir serve sender.toml`,
 	})
 	root.AddCommand(serveCommand(), configCommand(), ledgerCommand(), versionCommand())
 	for name, short := range map[string]string{
-		"try":     "Start a sender among stand-ins, run a scenario and tell how it went",
-		"load":    "Load a sender and measure it",
-		"lab":     "Try settings, policies and scenarios in simulated time, with error bars",
-		"sick":    "Measure what sick destinations take from healthy ones",
-		"standin": "Run stand-in gateways or a stand-in platform",
-		"relay":   "Run a plain relay, the baseline of comparisons",
+		"try":     "Run a scenario with a sender and simulated destinations, and report the results",
+		"load":    "Put load on a sender and measure it",
+		"lab":     "Compare settings, policies and scenarios in simulated time, with error bars",
+		"sick":    "Measure how failing destinations affect healthy ones",
+		"standin": "Run simulated gateways or a simulated platform",
+		"relay":   "Run a plain relay, the baseline for comparisons",
 	} {
-		root.AddCommand(labCommand(name, short))
+		root.AddCommand(forwardedCommand(name, short))
 	}
 	return root
 }
 
+// serveCommand returns the command that runs a sender.
 func serveCommand() *cobra.Command {
 	var state, format, level string
-	c := &cobra.Command{
-		Use: "serve FILE", Short: "Run a sender by a configuration file", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `serve runs a sender by a configuration in TOML (docs/configuration.md) or in the platform's JSON. SIGTERM lets it
-leave, SIGHUP makes it read the file again, SIGUSR1 prints its counters.`,
+	command := &cobra.Command{
+		Use: "serve FILE", Short: "Run a sender with a configuration file", Args: cli.Args(cobra.ExactArgs(1)),
+		Long: `serve runs a sender with a configuration in TOML (docs/configuration.md) or in the platform's JSON. SIGTERM shuts it
+down, SIGHUP makes it reload the file, and SIGUSR1 makes it print its counters.`,
 		Example: `  chuteweir serve sender.toml
   chuteweir serve --log-format json --log-level debug sender.toml`,
-		RunE: func(_ *cobra.Command, a []string) error {
+		RunE: func(_ *cobra.Command, args []string) error {
 			if format != "" && format != "text" && format != "json" {
-				return cli.Misused("--log-format %s: one of text, json", format)
+				return cli.Misused("--log-format is %q; it must be text or json", format)
 			}
 			if !slices.Contains([]string{"", "debug", "info", "warn", "error"}, level) {
-				return cli.Misused("--log-level %s: one of debug, info, warn, error", level)
+				return cli.Misused("--log-level is %q; it must be debug, info, warn or error", level)
 			}
-			return serve(a[0], state, format, level)
+			return serve(args[0], state, format, level)
 		},
 	}
-	c.Flags().StringVar(&state, "state", os.Getenv("PROXY_STATE"), "the lasting folder, in place of the file's")
-	c.Flags().StringVar(&format, "log-format", "", "text or json, in place of the file's")
-	c.Flags().StringVar(&level, "log-level", "", "debug, info, warn or error, in place of the file's")
-	return c
+	command.Flags().StringVar(&state, "state", os.Getenv("PROXY_STATE"), "state directory; overrides the one in the configuration file")
+	command.Flags().StringVar(&format, "log-format", "", "text or json; overrides the format in the configuration file")
+	command.Flags().StringVar(&level, "log-level", "", "debug, info, warn or error; overrides the level in the configuration file")
+	return command
 }
 
+// configCommand returns the group of commands that check, print and convert configuration files.
 func configCommand() *cobra.Command {
 	group := &cobra.Command{Use: "config", Short: "Check, print or convert a configuration",
 		Args: cli.Args(cobra.NoArgs), RunE: cli.Help}
-	check := &cobra.Command{
-		Use: "check FILE...", Short: "List all that is wrong with configuration files", Args: cli.Args(cobra.MinimumNArgs(1)),
+	checkCommand := &cobra.Command{
+		Use: "check FILE...", Short: "List all errors and warnings in configuration files", Args: cli.Args(cobra.MinimumNArgs(1)),
 		Example: "  chuteweir config check sender.toml",
-		RunE: func(c *cobra.Command, a []string) error {
-			bad := 0
-			for _, path := range a {
-				_, odd, err := config.Load(path, "")
+		RunE: func(command *cobra.Command, args []string) error {
+			faulty := 0
+			for _, path := range args {
+				_, warnings, err := config.Load(path, "")
 				if err != nil {
-					fmt.Fprintln(c.OutOrStdout(), err)
-					bad++
+					fmt.Fprintln(command.OutOrStdout(), err)
+					faulty++
 				}
-				for _, fault := range odd {
-					fmt.Fprintln(c.OutOrStdout(), fault)
+				for _, warning := range warnings {
+					fmt.Fprintln(command.OutOrStdout(), warning)
 				}
-				if len(odd) > 0 && err == nil {
-					bad++
+				if len(warnings) > 0 && err == nil {
+					faulty++
 				}
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d of %d files have faults", bad, len(a))
+			if faulty > 0 {
+				return fmt.Errorf("%d of %d files have errors or warnings", faulty, len(args))
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d without a fault\n", len(a))
+			fmt.Fprintf(command.OutOrStdout(), "%d checked, no errors or warnings\n", len(args))
 			return nil
 		},
 	}
-	print := &cobra.Command{
-		Use: "print FILE", Short: "Print a configuration in TOML, each key with the value in force", Args: cli.Args(cobra.ExactArgs(1)),
+	printCommand := &cobra.Command{
+		Use: "print FILE", Short: "Print a configuration in TOML, each key with its effective value", Args: cli.Args(cobra.ExactArgs(1)),
 		Example: "  chuteweir config print sender.toml",
-		RunE: func(c *cobra.Command, a []string) error {
-			loaded, _, err := config.Load(a[0], "")
+		RunE: func(command *cobra.Command, args []string) error {
+			loaded, _, err := config.Load(args[0], "")
 			if err == nil {
-				_, err = c.OutOrStdout().Write(loaded.TOML())
+				_, err = command.OutOrStdout().Write(loaded.TOML())
 			}
 			return err
 		},
 	}
-	convert := &cobra.Command{
+	convertCommand := &cobra.Command{
 		Use: "convert FILE", Short: "Convert TOML into the platform's JSON, and JSON into TOML", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `convert writes the other form to standard output. JSON has no place for the lasting folder and the log; TOML
-holds what a sender reads of the platform's settings and no more.`,
+		Long: `convert writes the other format to standard output. JSON cannot hold the state directory and the log settings; TOML
+holds only those of the platform's settings that a sender reads.`,
 		Example: "  chuteweir config convert config.json > sender.toml",
-		RunE: func(c *cobra.Command, a []string) error {
-			text, err := os.ReadFile(a[0])
+		RunE: func(command *cobra.Command, args []string) error {
+			text, err := os.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
-			loaded, _, err := config.Load(a[0], "")
+			loaded, _, err := config.Load(args[0], "")
 			if err != nil {
 				return err
 			}
-			out := loaded.TOML()
-			if !config.IsJSON(a[0], text) {
-				if out, err = loaded.Platform(); err != nil {
+			converted := loaded.TOML()
+			if !config.IsJSON(args[0], text) {
+				if converted, err = loaded.Platform(); err != nil {
 					return err
 				}
-				out = append(out, '\n')
+				converted = append(converted, '\n')
 			}
-			_, err = c.OutOrStdout().Write(out)
+			_, err = command.OutOrStdout().Write(converted)
 			return err
 		},
 	}
-	group.AddCommand(check, print, convert)
+	group.AddCommand(checkCommand, printCommand, convertCommand)
 	return group
 }
 
+// ledgerCommand returns the group of commands that inspect a ledger.
 func ledgerCommand() *cobra.Command {
-	group := &cobra.Command{Use: "ledger", Short: "Look at what a sender owes, without changing it",
+	group := &cobra.Command{Use: "ledger", Short: "Inspect the pending notices in a sender's ledger, read-only",
 		Args: cli.Args(cobra.NoArgs), RunE: cli.Help}
-	var lines bool
-	show := &cobra.Command{
-		Use: "show FOLDER", Short: "List the notices that a sender owes", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `show reads the ledger in a sender's lasting folder, of a stopped sender or of one that runs, and changes
-nothing. "may have run" counts the trips whose call may have taken effect.`,
+	var asJSON bool
+	showCommand := &cobra.Command{
+		Use: "show FOLDER", Short: "List a sender's pending notices", Args: cli.Args(cobra.ExactArgs(1)),
+		Long: `show reads the ledger in the state directory of a stopped or running sender and changes nothing. It lists the
+notices that are not delivered yet and those whose final outcome is not reported yet. MAY HAVE RUN counts the trips
+whose call may have taken effect.`,
 		Example: "  chuteweir ledger show /var/lib/chuteweir\n  chuteweir ledger show --json /var/lib/chuteweir",
-		RunE: func(c *cobra.Command, a []string) error {
-			report, err := ledger.Read(a[0])
+		RunE: func(command *cobra.Command, args []string) error {
+			report, err := ledger.Read(args[0])
 			if err != nil {
 				return err
 			}
-			return showLedger(c.OutOrStdout(), report, lines, time.Now())
+			return showLedger(command.OutOrStdout(), report, asJSON, time.Now())
 		},
 	}
-	show.Flags().BoolVar(&lines, "json", false, "a JSON object for each notice, a line each")
-	verify := &cobra.Command{
-		Use: "verify FOLDER", Short: "Read a ledger to its end and tell what it holds", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `verify reads the whole ledger. It fails if bytes at the end can't be read; while a sender runs, that may be a
-record being written just then, so look twice.`,
+	showCommand.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per line for each notice")
+	verifyCommand := &cobra.Command{
+		Use: "verify FOLDER", Short: "Read a whole ledger and summarize its contents", Args: cli.Args(cobra.ExactArgs(1)),
+		Long: `verify reads the whole ledger. It fails if bytes at the end can't be read. While a sender runs, these may be a
+record that is just being written, so run the command again before concluding that the ledger is damaged.`,
 		Example: "  chuteweir ledger verify /var/lib/chuteweir",
-		RunE: func(c *cobra.Command, a []string) error {
-			report, err := ledger.Read(a[0])
+		RunE: func(command *cobra.Command, args []string) error {
+			report, err := ledger.Read(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d bytes, %d records, %d notices owed\n", report.Bytes, report.Records, len(report.Owed))
+			fmt.Fprintf(command.OutOrStdout(), "%d bytes, %d records, %d notices pending\n", report.Bytes, report.Records, len(report.Owed))
 			for _, kind := range slices.Sorted(mapKeys(report.Kinds)) {
-				fmt.Fprintf(c.OutOrStdout(), "  %-12s %d\n", kind, report.Kinds[kind])
+				fmt.Fprintf(command.OutOrStdout(), "  %-12s %d\n", kind, report.Kinds[kind])
 			}
 			if report.Torn > 0 {
-				return fmt.Errorf("%d bytes at the end can't be read; what is before them is whole", report.Torn)
+				return fmt.Errorf("%d bytes at the end of the ledger can't be read; the records before them are intact", report.Torn)
 			}
 			return nil
 		},
 	}
-	group.AddCommand(show, verify)
+	group.AddCommand(showCommand, verifyCommand)
 	return group
 }
 
-func mapKeys(m map[string]int) func(func(string) bool) {
+// mapKeys iterates over the keys of a map.
+func mapKeys(counts map[string]int) func(func(string) bool) {
 	return func(yield func(string) bool) {
-		for k := range m {
-			if !yield(k) {
+		for key := range counts {
+			if !yield(key) {
 				return
 			}
 		}
 	}
 }
 
-// showLedger lists what is owed.
-func showLedger(out io.Writer, report ledger.Report, lines bool, now time.Time) error {
-	if lines {
+// showLedger prints the pending notices of a ledger, as a table or as one JSON object per line.
+func showLedger(out io.Writer, report ledger.Report, asJSON bool, now time.Time) error {
+	if asJSON {
 		encoder := json.NewEncoder(out)
-		for _, n := range report.Owed {
+		for _, notice := range report.Owed {
 			if err := encoder.Encode(struct {
 				Number      uint32    `json:"number"`
 				ID          string    `json:"id"`
@@ -207,57 +213,58 @@
 				MayHaveRun  int       `json:"may_have_run"`
 				Ended       string    `json:"ended,omitempty"`
 				Bytes       int       `json:"bytes"`
-			}{uint32(n.Number), n.ID, n.Grade, n.Portfolio, int32(n.Destination), n.Until, n.Trips, len(n.Ran), n.Ended, len(n.Body)}); err != nil {
+			}{uint32(notice.Number), notice.ID, notice.Grade, notice.Portfolio, int32(notice.Destination), notice.Until, notice.Trips, len(notice.Ran), notice.Ended, len(notice.Body)}); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "ID\tGRADE\tDESTINATION\tTIME LEFT\tTRIPS\tMAY HAVE RUN\tENDED\tBYTES")
-	for _, n := range report.Owed {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%d\t%d\t%s\t%d\n", n.ID, n.Grade, n.Destination, n.Until.Sub(now).Round(time.Millisecond),
-			n.Trips, len(n.Ran), n.Ended, len(n.Body))
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "ID\tGRADE\tDESTINATION\tTIME LEFT\tTRIPS\tMAY HAVE RUN\tENDED\tBYTES")
+	for _, notice := range report.Owed {
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%d\t%s\t%d\n", notice.ID, notice.Grade, notice.Destination, notice.Until.Sub(now).Round(time.Millisecond),
+			notice.Trips, len(notice.Ran), notice.Ended, len(notice.Body))
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
+// versionCommand returns the command that prints the version of the program.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Tell the version and the build", Args: cli.Args(cobra.NoArgs),
-		Run: func(c *cobra.Command, _ []string) {
+		Use: "version", Short: "Print the version and the revision it was built from", Args: cli.Args(cobra.NoArgs),
+		Run: func(command *cobra.Command, _ []string) {
 			info, _ := debug.ReadBuildInfo()
-			revision, changed := "unknown", ""
-			for _, s := range info.Settings {
+			revision, modified := "unknown", ""
+			for _, setting := range info.Settings {
 				switch {
-				case s.Key == "vcs.revision":
-					revision = s.Value
-				case s.Key == "vcs.modified" && s.Value == "true":
-					changed = " with changes"
+				case setting.Key == "vcs.revision":
+					revision = setting.Value
+				case setting.Key == "vcs.modified" && setting.Value == "true":
+					modified = " with uncommitted changes"
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "chuteweir %s, revision %s%s, %s\n", info.Main.Version, revision, changed, info.GoVersion)
+			fmt.Fprintf(command.OutOrStdout(), "chuteweir %s, revision %s%s, %s\n", info.Main.Version, revision, modified, info.GoVersion)
 		},
 	}
 }
 
-// labCommand hands a command on to chutelab, which stands beside this program: what it needs would only make a
-// sender larger.
-func labCommand(name, short string) *cobra.Command {
+// forwardedCommand returns a command that executes chutelab with the same name and arguments. chutelab is a separate
+// program, so that its dependencies don't make the sender larger.
+func forwardedCommand(name, short string) *cobra.Command {
 	return &cobra.Command{
 		Use: name, Short: short + " (by chutelab)", DisableFlagParsing: true,
-		RunE: func(_ *cobra.Command, a []string) error {
-			self, err := os.Executable()
+		RunE: func(_ *cobra.Command, args []string) error {
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			lab := filepath.Join(filepath.Dir(self), "chutelab")
-			if _, err := os.Stat(lab); err != nil {
-				if lab, err = exec.LookPath("chutelab"); err != nil {
-					return errors.New("chutelab is neither beside this program nor on the path: go build -o bin/ ./cmd/... makes both")
+			labPath := filepath.Join(filepath.Dir(executable), "chutelab")
+			if _, err := os.Stat(labPath); err != nil {
+				if labPath, err = exec.LookPath("chutelab"); err != nil {
+					return errors.New("chutelab is neither in the directory of this program nor in PATH; go build -o bin/ ./cmd/... builds both")
 				}
 			}
-			return syscall.Exec(lab, append([]string{"chutelab", name}, a...), os.Environ())
+			return syscall.Exec(labPath, append([]string{"chutelab", name}, args...), os.Environ())
 		},
 	}
 }
--- a/cmd/chuteweir/deadlines_test.go
+++ b/cmd/chuteweir/deadlines_test.go
@@ -16,155 +16,155 @@
 
 const (
 	// holdUp is how long a sender may be held up between reading its clock and writing.
-	holdUp = 150 * time.Millisecond
+	senderPause = 150 * time.Millisecond
 	// lostAfter is how long after its time a notice must have its end.
-	lostAfter = 300 * time.Millisecond
+	maxReportDelay = 300 * time.Millisecond
 	// crowdedStart is how many further notices make a start slow.
-	crowdedStart = 16_000
+	extraNotices = 16_000
 	// ledgerRoom is the room for a ledger with these, in bytes.
-	ledgerRoom = 256 << 20
+	ledgerCapacity = 256 << 20
 )
 
 // seedLedger writes a ledger as a killed sender leaves it: the notices given, each with its trips, and as many for a
 // destination that takes none as make the start slow.
-func (w *world) seedLedger(notices ...ledger.Notice) {
-	w.t.Helper()
-	l, _, err := ledger.Open(w.state, ledgerRoom)
-	w.must(err)
-	write := func(n ledger.Notice) {
-		w.must(l.Taken(n))
-		for _, trip := range n.Ran {
-			w.must(l.Trip(n.Number, trip))
+func (env *environment) seedLedger(notices ...ledger.Notice) {
+	env.t.Helper()
+	seeded, _, err := ledger.Open(env.stateDirectory, ledgerCapacity)
+	env.must(err)
+	write := func(notice ledger.Notice) {
+		env.must(seeded.Taken(notice))
+		for _, trip := range notice.Ran {
+			env.must(seeded.Trip(notice.Number, trip))
 		}
 	}
-	for i := range crowdedStart {
+	for i := range extraNotices {
 		write(ledger.Notice{Number: rules.NoticeID(i + 1), ID: fmt.Sprint("crowd-", i), Grade: "note", Portfolio: "acme", Destination: 2,
 			Until: time.Now().Add(time.Hour)})
 	}
-	for i, n := range notices {
-		n.Number = rules.NoticeID(crowdedStart + i + 1)
-		write(n)
+	for i, notice := range notices {
+		notice.Number = rules.NoticeID(extraNotices + i + 1)
+		write(notice)
 	}
-	w.must(l.Close())
+	env.must(seeded.Close())
 }
 
 // stand holds the sender up for a span.
-func (w *world) stand(span time.Duration) {
-	w.t.Helper()
-	w.must(w.sender.Process.Signal(syscall.SIGSTOP))
-	time.Sleep(span)
-	w.must(w.sender.Process.Signal(syscall.SIGCONT))
+func (env *environment) pauseSender(duration time.Duration) {
+	env.t.Helper()
+	env.must(env.sender.Process.Signal(syscall.SIGSTOP))
+	time.Sleep(duration)
+	env.must(env.sender.Process.Signal(syscall.SIGCONT))
 }
 
 // endsBy checks that the platform is told a notice's end by a time.
-func (w *world) endsBy(id string, by time.Time) {
-	w.t.Helper()
+func (env *environment) awaitReport(id string, deadline time.Time) {
+	env.t.Helper()
 	for {
-		if strings.Contains(strings.Join(w.heard(), "\n"), fmt.Sprintf(`platform: {"message":%q`, id)) {
+		if strings.Contains(strings.Join(env.recorded(), "\n"), fmt.Sprintf(`platform: {"message":%q`, id)) {
 			return
 		}
-		if time.Now().After(by) {
-			w.t.Fatalf("%s has no end %v after its time\n%s\n%s", id, lostAfter, strings.Join(w.heard(), "\n"), w.log)
+		if time.Now().After(deadline) {
+			env.t.Fatalf("%s has no end %v after its time\n%s\n%s", id, maxReportDelay, strings.Join(env.recorded(), "\n"), env.log)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // answersAt makes receivers answer 200 at a time.
-func (w *world) answersAt(at time.Time) {
-	w.answers(func(*standin.Asked) standin.Reply {
+func (env *environment) respondOKAt(at time.Time) {
+	env.respondWith(func(*standin.Asked) standin.Reply {
 		time.Sleep(time.Until(at))
 		return standin.Reply{Status: 200}
 	})
 }
 
-func TestRestoredNoticeKeepsItsTimeOverASlowStart(t *testing.T) {
-	w := begin(t, `disk = "1MB"`, `disk = "256MB"`, `hold = 50`, `hold = 100000`)
-	w.kill()
-	up := time.Now().Add(6 * time.Second)
-	w.seedLedger(ledger.Notice{ID: "late", Grade: "note", Portfolio: "acme", Destination: 1, Until: up})
-	w.answersAt(up.Add(10 * time.Millisecond))
-	w.start()
-	w.await(1, "receiver: POST /events late")
-	w.endsBy("late", up.Add(lostAfter))
+func TestRestoredNoticeKeepsItsTimeoutDuringSlowStart(t *testing.T) {
+	env := startEnvironment(t, `disk = "1MB"`, `disk = "256MB"`, `hold = 50`, `hold = 100000`)
+	env.killSender()
+	deadline := time.Now().Add(6 * time.Second)
+	env.seedLedger(ledger.Notice{ID: "late", Grade: "note", Portfolio: "acme", Destination: 1, Until: deadline})
+	env.respondOKAt(deadline.Add(10 * time.Millisecond))
+	env.startSender()
+	env.awaitLines(1, "receiver: POST /events late")
+	env.awaitReport("late", deadline.Add(maxReportDelay))
 }
 
-func TestRestoredNoticeIsNotSentAgainOnceItsMarkIsForgotten(t *testing.T) {
+func TestRestoredNoticeIsNotResentAfterItsKeyIsForgotten(t *testing.T) {
 	const (
-		remembers = 5 * time.Second
-		slack     = 50 * time.Millisecond
+		keyRetention = 5 * time.Second
+		tolerance    = 50 * time.Millisecond
 	)
-	w := begin(t, `disk = "1MB"`, `disk = "256MB"`, `hold = 50`, `hold = 100000`, `repeat = "reissuable"`, "repeat = \"numbered\"\nremembers = \"5s\"")
-	w.kill()
-	ran := map[string]time.Time{}
+	env := startEnvironment(t, `disk = "1MB"`, `disk = "256MB"`, `hold = 50`, `hold = 100000`, `repeat = "reissuable"`, "repeat = \"numbered\"\nremembers = \"5s\"")
+	env.killSender()
+	calledAt := map[string]time.Time{}
 	var notices []ledger.Notice
 	// The marks are forgotten one after the other while the next process starts.
-	for left := time.Duration(0); left < 3*time.Second; left += 25 * time.Millisecond {
-		id := fmt.Sprint("mark-", left)
-		ran[id] = time.Now().Add(left - remembers)
+	for remaining := time.Duration(0); remaining < 3*time.Second; remaining += 25 * time.Millisecond {
+		id := fmt.Sprint("mark-", remaining)
+		calledAt[id] = time.Now().Add(remaining - keyRetention)
 		notices = append(notices, ledger.Notice{ID: id, Grade: "note", Portfolio: "acme", Destination: 1,
-			Until: time.Now().Add(10 * time.Second), Ran: []ledger.Trip{{At: ran[id], Zone: "here"}}})
+			Until: time.Now().Add(10 * time.Second), Ran: []ledger.Trip{{At: calledAt[id], Zone: "here"}}})
 	}
-	w.seedLedger(notices...)
-	w.answers(func(a *standin.Asked) standin.Reply {
-		if late := time.Since(ran[a.ID]) - remembers; late > slack {
-			t.Errorf("%s was sent again %v after its mark was forgotten", a.ID, late)
+	env.seedLedger(notices...)
+	env.respondWith(func(call *standin.Asked) standin.Reply {
+		if late := time.Since(calledAt[call.ID]) - keyRetention; late > tolerance {
+			t.Errorf("%s was sent again %v after its mark was forgotten", call.ID, late)
 		}
 		return standin.Reply{Status: 200}
 	})
-	w.start()
+	env.startSender()
 	time.Sleep(time.Second)
 }
 
 // handReadLate hands a notice in that the sender, held up, reads late. It returns the end of the notice's time.
-func (w *world) handReadLate(grade, id string, left, late time.Duration) (up time.Time) {
-	w.t.Helper()
-	w.must(w.sender.Process.Signal(syscall.SIGSTOP))
-	up = time.Now().Add(left)
-	time.AfterFunc(late, func() { w.sender.Process.Signal(syscall.SIGCONT) })
-	w.answersAt(up.Add(late / 2))
-	w.hand(grade, id, int(left.Milliseconds()), 1)
-	w.await(1, "receiver: POST /events "+id)
-	return up
+func (env *environment) submitReadLate(grade, id string, timeout, delay time.Duration) (deadline time.Time) {
+	env.t.Helper()
+	env.must(env.sender.Process.Signal(syscall.SIGSTOP))
+	deadline = time.Now().Add(timeout)
+	time.AfterFunc(delay, func() { env.sender.Process.Signal(syscall.SIGCONT) })
+	env.respondOKAt(deadline.Add(delay / 2))
+	env.submit(grade, id, int(timeout.Milliseconds()), 1)
+	env.awaitLines(1, "receiver: POST /events "+id)
+	return deadline
 }
 
-func TestAnswerAfterTheTimeOfANoticeReadLateLeavesItAnEnd(t *testing.T) {
+func TestNoticeReadLateIsReportedWhenResponseMissesTimeout(t *testing.T) {
 	for _, grade := range []string{"note", "order"} {
-		for _, late := range []time.Duration{holdUp, 2 * holdUp} {
-			t.Run(fmt.Sprint(grade, " ", late), func(t *testing.T) {
+		for _, delay := range []time.Duration{senderPause, 2 * senderPause} {
+			t.Run(fmt.Sprint(grade, " ", delay), func(t *testing.T) {
 				t.Parallel()
-				w := begin(t)
-				up := w.handReadLate(grade, "late", 2*time.Second, late)
-				w.endsBy("late", up.Add(lostAfter))
+				env := startEnvironment(t)
+				deadline := env.submitReadLate(grade, "late", 2*time.Second, delay)
+				env.awaitReport("late", deadline.Add(maxReportDelay))
 			})
 		}
 	}
 }
 
-func TestAnswerAfterTheTimeOfANoticeLeavesItAnEndWhenTheSenderLeaves(t *testing.T) {
-	w := begin(t)
-	up := w.handReadLate("order", "late", 4*time.Second, holdUp)
-	time.Sleep(time.Until(up.Add(-2800 * time.Millisecond))) // no trip is begun any more when the answer comes
-	w.leave()
-	w.start()
-	w.await(1, `platform: {"message":"late","outcome":"given_up"`)
+func TestNoticeIsReportedWhenResponseMissesTimeoutDuringShutdown(t *testing.T) {
+	env := startEnvironment(t)
+	deadline := env.submitReadLate("order", "late", 4*time.Second, senderPause)
+	time.Sleep(time.Until(deadline.Add(-2800 * time.Millisecond))) // no trip is begun any more when the answer comes
+	env.shutDown()
+	env.startSender()
+	env.awaitLines(1, `platform: {"message":"late","outcome":"given_up"`)
 }
 
-func TestAnswerHeardLateByASenderHeldUpLeavesItsNoticeAnEnd(t *testing.T) {
-	const tries = 4 // of each, as a held-up sender may find its timer due first
-	for try := range 2 * tries {
-		grade := []string{"note", "order"}[try%2]
-		t.Run(fmt.Sprint(grade, " ", try/2), func(t *testing.T) {
+func TestNoticeIsReportedWhenPausedSenderReadsResponseLate(t *testing.T) {
+	const attempts = 4 // of each, as a held-up sender may find its timer due first
+	for attempt := range 2 * attempts {
+		grade := []string{"note", "order"}[attempt%2]
+		t.Run(fmt.Sprint(grade, " ", attempt/2), func(t *testing.T) {
 			t.Parallel()
-			w := begin(t)
-			const left = 2 * time.Second
-			up := time.Now().Add(left)
-			w.answersAt(up.Add(20 * time.Millisecond))
-			w.hand(grade, "late", int(left.Milliseconds()), 1)
-			w.await(1, "receiver: POST /events late")
-			time.Sleep(time.Until(up.Add(-50 * time.Millisecond)))
-			w.stand(holdUp)
-			w.endsBy("late", up.Add(lostAfter))
+			env := startEnvironment(t)
+			const timeout = 2 * time.Second
+			deadline := time.Now().Add(timeout)
+			env.respondOKAt(deadline.Add(20 * time.Millisecond))
+			env.submit(grade, "late", int(timeout.Milliseconds()), 1)
+			env.awaitLines(1, "receiver: POST /events late")
+			time.Sleep(time.Until(deadline.Add(-50 * time.Millisecond)))
+			env.pauseSender(senderPause)
+			env.awaitReport("late", deadline.Add(maxReportDelay))
 		})
 	}
 }
--- a/cmd/chuteweir/main.go
+++ b/cmd/chuteweir/main.go
@@ -1,4 +1,4 @@
-// Command chuteweir takes notices from clients and brings them to their destinations.
+// Command chuteweir accepts notices from clients and delivers them to their destinations.
 package main
 
 import (
@@ -10,13 +10,13 @@
 func main() { cli.Exit("chuteweir", run()) }
 
 func run() error {
-	// The platform starts a sender without arguments: it is kept clear of what only people need.
+	// The platform starts a sender without arguments, so this path does not build the command line for operators.
 	if len(os.Args) == 1 {
 		path, state := os.Getenv("PROXY_CONFIG"), os.Getenv("PROXY_STATE")
 		if path == "" || state == "" {
-			return cli.Misused("PROXY_CONFIG and PROXY_STATE must name the configuration and the lasting folder; or see chuteweir help")
+			return cli.Misused("PROXY_CONFIG must name the configuration file and PROXY_STATE the state directory; see also chuteweir help")
 		}
 		return serve(path, state, "", "")
 	}
-	return commands().Execute()
+	return rootCommand().Execute()
 }
--- a/cmd/chuteweir/main_test.go
+++ b/cmd/chuteweir/main_test.go
@@ -23,11 +23,11 @@
 var program string
 
 func TestMain(m *testing.M) {
-	folder, err := os.MkdirTemp("", "chuteweir")
+	directory, err := os.MkdirTemp("", "chuteweir")
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(folder, "chuteweir")
+	program = filepath.Join(directory, "chuteweir")
 	build := append([]string{"build", "-o", program}, buildFlags...)
 	if os.Getenv("GOCOVERDIR") != "" {
 		build = append(build, "-cover", "-coverpkg=./../...")
@@ -36,18 +36,18 @@
 		panic(string(out))
 	}
 	code := m.Run()
-	os.RemoveAll(folder)
+	os.RemoveAll(directory)
 	os.Exit(code)
 }
 
 func TestServes(t *testing.T) {
-	w := begin(t)
-	w.hand("note", "n-1", 12000, 1)
-	w.await(1, "receiver")
-	tries := 0
-	w.answers(func(*standin.Asked) standin.Reply {
-		tries++
-		switch tries {
+	env := startEnvironment(t)
+	env.submit("note", "n-1", 12000, 1)
+	env.awaitLines(1, "receiver")
+	calls := 0
+	env.respondWith(func(*standin.Asked) standin.Reply {
+		calls++
+		switch calls {
 		case 1:
 			return standin.Reply{Status: 500}
 		case 2: // the connection ends after the call: it may have run
@@ -57,12 +57,12 @@
 		}
 		return standin.Reply{Raw: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"}
 	})
-	w.hand("note", "n-2", 12000, 1)
-	w.await(4, "receiver")
-	w.hand("order", "o-1", 12000, 1)
-	w.await(5, "receiver")
-	w.count()
-	w.check(`
+	env.submit("note", "n-2", 12000, 1)
+	env.awaitLines(4, "receiver")
+	env.submit("order", "o-1", 12000, 1)
+	env.awaitLines(5, "receiver")
+	env.recordCounters()
+	env.checkTrace(`
 client: n-1 202 Accepted
 client: n-2 202 Accepted
 client: o-1 202 Accepted
@@ -73,13 +73,13 @@
 receiver: POST /events o-1 "body"
 taken 3 refused 0 dismissed 0 trips 5 handled 3 full 0 errored 1 lost 1 unmet 0 unsent 0
 `)
-	w.leave()
+	env.shutDown()
 }
 
 // What a receiver may answer, one after the other to the same notice, and what each counts as.
 func TestOutcomes(t *testing.T) {
-	w := begin(t, `trips = 4`, `trips = 12`)
-	answers := []string{
+	env := startEnvironment(t, `trips = 4`, `trips = 12`)
+	responses := []string{
 		"HTTP/1.1 503 Busy\r\nX-Line-Busy: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 504 Used up\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 503 Full\r\nServer-Load: x0=nonsense\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
@@ -87,40 +87,40 @@
 		"no HTTP at all\r\n\r\n",
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut",
 	}
-	w.answers(func(*standin.Asked) standin.Reply {
-		raw := answers[0]
-		answers = answers[1:]
+	env.respondWith(func(*standin.Asked) standin.Reply {
+		raw := responses[0]
+		responses = responses[1:]
 		return standin.Reply{Raw: raw, Close: true}
 	})
-	w.hand("note", "n-1", 12000, 1)
-	w.await(6, "receiver")
-	w.count()
-	w.hear(w.heard()[len(w.heard())-1:])
-	w.check("taken 1 refused 0 dismissed 0 trips 6 handled 1 full 2 errored 0 lost 1 unmet 0 unsent 2")
-	w.leave()
+	env.submit("note", "n-1", 12000, 1)
+	env.awaitLines(6, "receiver")
+	env.recordCounters()
+	env.setTrace(env.recorded()[len(env.recorded())-1:])
+	env.checkTrace("taken 1 refused 0 dismissed 0 trips 6 handled 1 full 2 errored 0 lost 1 unmet 0 unsent 2")
+	env.shutDown()
 }
 
 // Whatever bad clients send, they get an error or a close in time, and nothing of theirs is taken on.
-func TestTurnsAway(t *testing.T) {
-	w := begin(t)
-	good := func(more string) string { return post("note", "a", 12000, 1, "", more) }
-	for what, text := range map[string]string{
-		"1 unknown grade":   post("x", "a", 12000, 1, ""),
-		"2 no destination":  strings.Replace(good(""), "dest=1", "dest=", 1),
-		"2 unknown":         post("note", "a", 12000, 70000, ""),
-		"3 no id":           post("note", "", 12000, 1, ""),
-		"3 odd id":          post("note", "\xe9\xff", 12000, 1, ""),
-		"4 no time":         strings.Replace(good(""), "12000", "soon", 1),
-		"4 negative time":   post("note", "a", -1, 1, ""),
-		"5 huge body":       good("Content-Length: 99999999\r\n"),
-		"5 huge length":     strings.Replace(good(""), "Length: 0", "Length: 99999999", 1),
-		"5 negative length": strings.Replace(good(""), "Length: 0", "Length: -1", 1),
-		"5 two lengths":     good("Content-Length: 4\r\n"),
-		"5 hidden request":  good("Transfer-Encoding: chunked\r\n") + "0\r\n\r\n" + good(""),
-		"5 odd encoding":    strings.Replace(good(""), "Content-Length: 0", "Transfer-Encoding: xchunked", 1),
+func TestRejectsMalformedRequests(t *testing.T) {
+	env := startEnvironment(t)
+	valid := func(headers string) string { return submission("note", "a", 12000, 1, "", headers) }
+	for name, request := range map[string]string{
+		"1 unknown grade":   submission("x", "a", 12000, 1, ""),
+		"2 no destination":  strings.Replace(valid(""), "dest=1", "dest=", 1),
+		"2 unknown":         submission("note", "a", 12000, 70000, ""),
+		"3 no id":           submission("note", "", 12000, 1, ""),
+		"3 odd id":          submission("note", "\xe9\xff", 12000, 1, ""),
+		"4 no time":         strings.Replace(valid(""), "12000", "soon", 1),
+		"4 negative time":   submission("note", "a", -1, 1, ""),
+		"5 huge body":       valid("Content-Length: 99999999\r\n"),
+		"5 huge length":     strings.Replace(valid(""), "Length: 0", "Length: 99999999", 1),
+		"5 negative length": strings.Replace(valid(""), "Length: 0", "Length: -1", 1),
+		"5 two lengths":     valid("Content-Length: 4\r\n"),
+		"5 hidden request":  valid("Transfer-Encoding: chunked\r\n") + "0\r\n\r\n" + valid(""),
+		"5 odd encoding":    strings.Replace(valid(""), "Content-Length: 0", "Transfer-Encoding: xchunked", 1),
 		"6 huge head":       "GET /up HTTP/1.1\r\nA: " + strings.Repeat("a", 20_000) + "\r\n\r\n",
 		"7 nonsense":        "\x16\x03\x01 hello\r\n\r\n",
-		"7 many at once":    strings.Repeat(post("x", "a", 12000, 1, ""), 300),
+		"7 many at once":    strings.Repeat(submission("x", "a", 12000, 1, ""), 300),
 		"8 never complete":  "POST /note HTTP/1.1\r\nContent-Length: 9\r\n\r\nab",
 		"8 half a line":     "POST /no",
 		"8 silent":          "",
@@ -129,19 +129,19 @@
 		"b two on end, one": "GET /up HTTP/1.1\r\n\r\nGET /up HTTP/1.1\r\n\r\n",
 		"c waits to go on":  "POST /note HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n",
 	} {
-		began := time.Now()
-		w.say("%s: %s", what, w.speakRaw(text))
-		if time.Since(began) > 3*time.Second {
-			t.Errorf("%s: after %v", what, time.Since(began))
+		started := time.Now()
+		env.record("%s: %s", name, env.sendRaw(request))
+		if time.Since(started) > 3*time.Second {
+			t.Errorf("%s: after %v", name, time.Since(started))
 		}
 	}
-	w.answers(func(*standin.Asked) standin.Reply { return standin.Reply{Status: 200, After: 300 * time.Millisecond} })
-	w.say("d first: %s", w.speakRaw(post("note", "same", 12000, 1, "")))
-	w.say("d its id again: %s", w.speakRaw(post("note", "same", 12000, 1, "")))
+	env.respondWith(func(*standin.Asked) standin.Reply { return standin.Reply{Status: 200, After: 300 * time.Millisecond} })
+	env.record("d first: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
+	env.record("d its id again: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
 	time.Sleep(500 * time.Millisecond)
-	w.say("d its id later: %s", w.speakRaw(post("note", "same", 12000, 1, "")))
-	w.set(func() { slices.Sort(w.trace) })
-	w.check(`
+	env.record("d its id later: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
+	env.locked(func() { slices.Sort(env.trace) })
+	env.checkTrace(`
 1 unknown grade: 404 Not Found, closing
 2 no destination: 400 Bad Request, closing
 2 unknown: 503 Service Unavailable, closing
@@ -170,26 +170,26 @@
 d its id later: 409 Conflict
 receiver: POST /events same ""
 `)
-	w.leave()
+	env.shutDown()
 }
 
-func TestOutlivesBeingKilled(t *testing.T) {
-	w := begin(t)
-	w.answers(func(a *standin.Asked) standin.Reply {
-		if a.ID == "o-1" { // turned away: it has not run
+func TestRestoresNoticesAfterKill(t *testing.T) {
+	env := startEnvironment(t)
+	env.respondWith(func(call *standin.Asked) standin.Reply {
+		if call.ID == "o-1" { // turned away: it has not run
 			return standin.Reply{Status: 429, Fields: []string{"Retry-After: 7.5"}}
 		}
 		return standin.Reply{Never: true}
 	})
-	w.hand("note", "n-1", 12000, 1, "Idempotency-Key: mark\r\n")
-	w.await(1, "receiver")
-	w.hand("order", "o-2", 12000, 1)
-	w.await(2, "receiver")
-	w.hand("order", "o-1", 12000, 1)
-	w.await(3, "receiver")
+	env.submit("note", "n-1", 12000, 1, "Idempotency-Key: mark\r\n")
+	env.awaitLines(1, "receiver")
+	env.submit("order", "o-2", 12000, 1)
+	env.awaitLines(2, "receiver")
+	env.submit("order", "o-1", 12000, 1)
+	env.awaitLines(3, "receiver")
 	time.Sleep(100 * time.Millisecond)
-	w.kill()
-	w.check(`
+	env.killSender()
+	env.checkTrace(`
 client: n-1 202 Accepted
 client: o-2 202 Accepted
 client: o-1 202 Accepted
@@ -197,107 +197,109 @@
 receiver: POST /events o-2 "body"
 receiver: POST /events o-1 "body"
 `)
-	w.hear(nil)
-	w.answers(fine)
-	w.start()
-	w.await(2, "receiver")
-	w.await(1, "platform")
-	w.leave()
-	w.set(func() { slices.Sort(w.trace) })
-	w.check(`
+	env.setTrace(nil)
+	env.respondWith(respondOK)
+	env.startSender()
+	env.awaitLines(2, "receiver")
+	env.awaitLines(1, "platform")
+	env.shutDown()
+	env.locked(func() { slices.Sort(env.trace) })
+	env.checkTrace(`
 platform: {"message":"o-2","outcome":"given_up"}
 receiver: POST /events n-1 "body"mark
 receiver: POST /events o-1 "body"
 `)
-	w.start()
-	if !strings.Contains(w.log.String(), "restored=0") {
-		t.Errorf("what was over came back: %s", w.log)
+	env.startSender()
+	if !strings.Contains(env.log.String(), "restored=0") {
+		t.Errorf("what was over came back: %s", env.log)
 	}
-	w.leave()
+	env.shutDown()
 }
 
-func TestLeaves(t *testing.T) {
-	w := begin(t)
-	w.answers(func(*standin.Asked) standin.Reply { return standin.Reply{Status: 200, After: 700 * time.Millisecond} })
-	w.hand("order", "o-1", 12000, 1)
-	w.await(1, "receiver")
-	w.must(w.sender.Process.Signal(syscall.SIGTERM))
+func TestFinishesCallsBeforeShutdown(t *testing.T) {
+	env := startEnvironment(t)
+	env.respondWith(func(*standin.Asked) standin.Reply { return standin.Reply{Status: 200, After: 700 * time.Millisecond} })
+	env.submit("order", "o-1", 12000, 1)
+	env.awaitLines(1, "receiver")
+	env.must(env.sender.Process.Signal(syscall.SIGTERM))
 	time.Sleep(100 * time.Millisecond)
-	w.hand("note", "n-1", 12000, 1)
-	w.say("up: %s", w.speakRaw("GET /up HTTP/1.1\r\n\r\n"))
-	w.leave()
-	w.check(`
+	env.submit("note", "n-1", 12000, 1)
+	env.record("up: %s", env.sendRaw("GET /up HTTP/1.1\r\n\r\n"))
+	env.shutDown()
+	env.checkTrace(`
 client: o-1 202 Accepted
 client: n-1 503 Service Unavailable, closing
 receiver: POST /events o-1 "body"
 up: 503 Service Unavailable, closing
 `)
-	w.start()
-	if !strings.Contains(w.log.String(), "restored=0") {
-		t.Errorf("the call that was out did not finish: %s", w.log)
+	env.startSender()
+	if !strings.Contains(env.log.String(), "restored=0") {
+		t.Errorf("the call that was out did not finish: %s", env.log)
 	}
 }
 
 // An end that the platform has not taken is handed in until it is, by the next process too.
-func TestEndsAreKept(t *testing.T) {
-	w := begin(t)
-	w.set(func() { w.takes = false })
-	w.hand("note", "n-1", 200, 2)
-	w.await(2, "platform")
-	w.kill()
-	w.set(func() { w.takes, w.trace = true, nil })
-	w.start()
-	w.await(1, "platform")
+func TestOutcomeReportsAreKept(t *testing.T) {
+	env := startEnvironment(t)
+	env.locked(func() { env.acceptsReports = false })
+	env.submit("note", "n-1", 200, 2)
+	env.awaitLines(2, "platform")
+	env.killSender()
+	env.locked(func() { env.acceptsReports, env.trace = true, nil })
+	env.startSender()
+	env.awaitLines(1, "platform")
 	time.Sleep(300 * time.Millisecond)
-	w.check(`platform: {"message":"n-1","outcome":"handed_back"}`)
-	w.leave()
+	env.checkTrace(`platform: {"message":"n-1","outcome":"handed_back"}`)
+	env.shutDown()
 }
 
 // One end that the platform can't read does not keep the others from it.
-func TestEndsPassOneThatCannotBeRead(t *testing.T) {
-	w := begin(t)
-	w.set(func() { w.takes = false })
+func TestRejectedOutcomeReportDoesNotBlockOthers(t *testing.T) {
+	env := startEnvironment(t)
+	env.locked(func() { env.acceptsReports = false })
 	for i := range 5 {
-		w.hand("note", fmt.Sprint("n-", i), 200, 2)
+		env.submit("note", fmt.Sprint("n-", i), 200, 2)
 	}
-	w.await(2, "platform")
-	w.set(func() { w.takes, w.rejects, w.trace = true, "n-2", nil })
+	env.awaitLines(2, "platform")
+	env.locked(func() { env.acceptsReports, env.unreadableReport, env.trace = true, "n-2", nil })
 	time.Sleep(1500 * time.Millisecond)
-	var ends []string
-	for _, line := range w.heard() {
-		ends = append(ends, strings.Split(strings.ReplaceAll(line, "platform: ", ""), "\n")...)
+	var reports []string
+	for _, line := range env.recorded() {
+		reports = append(reports, strings.Split(strings.ReplaceAll(line, "platform: ", ""), "\n")...)
 	}
-	slices.Sort(ends)
-	w.hear(ends)
-	w.check(`
+	slices.Sort(reports)
+	env.setTrace(reports)
+	env.checkTrace(`
 {"message":"n-0","outcome":"handed_back"}
 {"message":"n-1","outcome":"handed_back"}
 {"message":"n-3","outcome":"handed_back"}
 {"message":"n-4","outcome":"handed_back"}
 `)
-	if !strings.Contains(w.log.String(), `end of \"n-2\", which is given up`) {
-		t.Errorf("not told: %s", w.log)
+	if !strings.Contains(env.log.String(), `end of \"n-2\", which is given up`) {
+		t.Errorf("not told: %s", env.log)
 	}
-	w.leave()
+	env.shutDown()
 }
 
-func TestFollowsTheList(t *testing.T) {
-	w := begin(t)
-	w.set(func() { w.garbage = `{"revision":2,"members":[{"id":"s-1-1","phase":` })
-	w.platform.Change()
+func TestFollowsTheReceiverList(t *testing.T) {
+	env := startEnvironment(t)
+	env.locked(func() { env.listReplacement = `{"revision":2,"members":[{"id":"s-1-1","phase":` })
+	env.platform.Change()
 	time.Sleep(100 * time.Millisecond)
-	w.hand("note", "n-1", 12000, 1)
-	w.await(1, "receiver")
-	w.set(func() { w.garbage = `{"revision":2,"complete":true,"members":[{"id":"s-1-1","phase":"asleep"}]}` })
+	env.submit("note", "n-1", 12000, 1)
+	env.awaitLines(1, "receiver")
+	env.locked(func() {
+		env.listReplacement = `{"revision":2,"complete":true,"members":[{"id":"s-1-1","phase":"asleep"}]}`
+	})
 	time.Sleep(100 * time.Millisecond)
-	w.hand("note", "n-2", 12000, 1)
-	w.await(2, "receiver")
-	w.set(func() { w.garbage = "" })
-	w.replace(w.platform)
+	env.submit("note", "n-2", 12000, 1)
+	env.awaitLines(2, "receiver")
+	env.locked(func() { env.listReplacement = "" })
+	env.replaceReceiver(env.platform)
 	time.Sleep(1200 * time.Millisecond)
-	w.hand("note", "n-3", 12000, 1)
-	w.await(1, "other")
-	w.check(`
+	env.submit("note", "n-3", 12000, 1)
+	env.awaitLines(1, "other")
+	env.checkTrace(`
 client: n-1 202 Accepted
 client: n-2 202 Accepted
 client: n-3 202 Accepted
@@ -305,104 +307,104 @@
 receiver: POST /events n-1 "body"
 receiver: POST /events n-2 "body"
 `)
-	w.leave()
+	env.shutDown()
 }
 
 // What can't be served in time is refused with the time to come back; what the receiver says is over, is over.
-func TestRefusesAndEnds(t *testing.T) {
-	w := begin(t)
-	w.answers(func(a *standin.Asked) standin.Reply {
-		if a.ID == "o-1" {
+func TestRefusesWhatCannotBeDeliveredInTime(t *testing.T) {
+	env := startEnvironment(t)
+	env.respondWith(func(call *standin.Asked) standin.Reply {
+		if call.ID == "o-1" {
 			return standin.Reply{Status: 410}
 		}
 		// The connection breaks within the body: it may have run, and the wait that the head told still holds.
 		return standin.Reply{Raw: "HTTP/1.1 429 Wait\r\nRetry-After: 7.5\r\nContent-Length: 100\r\n\r\ncut", Close: true}
 	})
-	w.hand("order", "o-1", 12000, 1)
-	w.await(1, "receiver")
-	w.hand("note", "n-1", 12000, 1)
-	w.await(2, "receiver")
+	env.submit("order", "o-1", 12000, 1)
+	env.awaitLines(1, "receiver")
+	env.submit("note", "n-1", 12000, 1)
+	env.awaitLines(2, "receiver")
 	time.Sleep(100 * time.Millisecond)
-	w.hand("note", "n-2", 3000, 1)
-	w.check(`
+	env.submit("note", "n-2", 3000, 1)
+	env.checkTrace(`
 client: o-1 202 Accepted
 client: n-1 202 Accepted
 client: n-2 429 Too Many Requests, retry after 3.000
 receiver: POST /events o-1 "body"
 receiver: POST /events n-1 "body"
 `)
-	w.kill()
-	w.start()
-	if !strings.Contains(w.log.String(), "restored=1") {
-		t.Errorf("not just n-1 came back: %s", w.log)
+	env.killSender()
+	env.startSender()
+	if !strings.Contains(env.log.String(), "restored=1") {
+		t.Errorf("not just n-1 came back: %s", env.log)
 	}
 }
 
 // A ledger that is nearly full of what waits gives back what promises least; what does not fit is turned away; and all that
 // was taken on is either told its end or still owed.
 func TestFullLedger(t *testing.T) {
-	w := begin(t)
+	env := startEnvironment(t)
 	body := strings.Repeat("b", 64<<10)
-	taken := 0
+	accepted := 0
 	for i := range 9 { // held, as the receiver of destination 2 drains
 		id := fmt.Sprint("n-", i)
-		switch answer := w.speakRaw(post("note", id, 12000, 2, body)); answer {
+		switch answer := env.sendRaw(submission("note", id, 12000, 2, body)); answer {
 		case "202 Accepted":
-			taken++
+			accepted++
 		case "503 Service Unavailable":
 		default:
 			t.Errorf("%s: %s", id, answer)
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
-	back := map[string]bool{}
-	told := func() { // ends that the platform has taken; one request may tell several
-		for _, heard := range w.heard() {
-			if ends, ok := strings.CutPrefix(heard, "platform: "); ok {
-				for line := range strings.Lines(ends) {
+	handedBack := map[string]bool{}
+	collectReports := func() { // ends that the platform has taken; one request may tell several
+		for _, recorded := range env.recorded() {
+			if reports, ok := strings.CutPrefix(recorded, "platform: "); ok {
+				for line := range strings.Lines(reports) {
 					if !strings.Contains(line, `"outcome":"handed_back"`) {
 						t.Errorf("%s", line)
 					}
-					back[strings.TrimSpace(line)] = true
+					handedBack[strings.TrimSpace(line)] = true
 				}
 			}
 		}
 	}
-	told()
-	if taken < 5 || len(back) == 0 || taken-len(back) < 2 {
-		t.Errorf("%d taken on, %d handed back", taken, len(back))
+	collectReports()
+	if accepted < 5 || len(handedBack) == 0 || accepted-len(handedBack) < 2 {
+		t.Errorf("%d taken on, %d handed back", accepted, len(handedBack))
 	}
-	w.kill()
-	w.start()
+	env.killSender()
+	env.startSender()
 	var restored int
-	_, rest, _ := strings.Cut(w.log.String(), "restored=")
+	_, rest, _ := strings.Cut(env.log.String(), "restored=")
 	fmt.Sscan(rest, &restored)
 	time.Sleep(200 * time.Millisecond)
-	before := len(back)
-	told() // also by the second process
-	if restored < taken-len(back) || restored > taken-before {
-		t.Errorf("%d taken on, %d and then %d handed back, %d restored: %s", taken, before, len(back), restored, w.log)
+	before := len(handedBack)
+	collectReports() // also by the second process
+	if restored < accepted-len(handedBack) || restored > accepted-before {
+		t.Errorf("%d taken on, %d and then %d handed back, %d restored: %s", accepted, before, len(handedBack), restored, env.log)
 	}
 }
 
 // A connection is used again while the receiver is sure to keep it, and no longer.
 func TestIdleConnections(t *testing.T) {
-	w := begin(t, `idle_kept = "10s"`, `idle_kept = "400ms"`)
-	var from []string
-	w.answers(func(a *standin.Asked) standin.Reply {
-		w.set(func() { from = append(from, a.Remote) })
+	env := startEnvironment(t, `idle_kept = "10s"`, `idle_kept = "400ms"`)
+	var remotes []string
+	env.respondWith(func(call *standin.Asked) standin.Reply {
+		env.locked(func() { remotes = append(remotes, call.Remote) })
 		return standin.Reply{Status: 200}
 	})
 	for i, pause := range []time.Duration{50, 600, 0} {
-		w.hand("note", fmt.Sprint("n-", i), 12000, 1)
-		w.await(i+1, "receiver")
+		env.submit("note", fmt.Sprint("n-", i), 12000, 1)
+		env.awaitLines(i+1, "receiver")
 		time.Sleep(pause * time.Millisecond)
 	}
 	time.Sleep(50 * time.Millisecond)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if from[0] != from[1] || from[1] == from[2] {
-		t.Errorf("calls came from %v", from)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if remotes[0] != remotes[1] || remotes[1] == remotes[2] {
+		t.Errorf("calls came from %v", remotes)
 	}
 }
 
@@ -428,34 +430,34 @@
 
 // A new configuration moves the watch and the ends that are owed to its discovery; one that can't be read does not.
 func TestReloads(t *testing.T) {
-	w := begin(t)
-	w.set(func() { w.takes = false })
-	w.answers(func(a *standin.Asked) standin.Reply {
-		if a.ID == "n-0" {
+	env := startEnvironment(t)
+	env.locked(func() { env.acceptsReports = false })
+	env.respondWith(func(call *standin.Asked) standin.Reply {
+		if call.ID == "n-0" {
 			time.Sleep(700 * time.Millisecond)
-			w.say("receiver: n-0 is answered")
+			env.record("receiver: n-0 is answered")
 		}
 		return standin.Reply{Status: 200}
 	})
-	w.hand("note", "n-0", 12000, 1) // its call is out all the while
-	w.await(1, "receiver")
-	w.hand("note", "n-1", 200, 2)
-	w.await(1, "platform")
-	w.must(os.WriteFile(w.path, []byte(`{"listen": "`), 0o600))
-	w.must(w.sender.Process.Signal(syscall.SIGHUP))
+	env.submit("note", "n-0", 12000, 1) // its call is out all the while
+	env.awaitLines(1, "receiver")
+	env.submit("note", "n-1", 200, 2)
+	env.awaitLines(1, "platform")
+	env.must(os.WriteFile(env.configPath, []byte(`{"listen": "`), 0o600))
+	env.must(env.sender.Process.Signal(syscall.SIGHUP))
 	time.Sleep(100 * time.Millisecond)
-	w.platform = w.newPlatform("moved") // its list is counted anew
-	w.replace(w.platform)
-	w.configure()
-	w.must(w.sender.Process.Signal(syscall.SIGHUP))
-	w.await(1, "moved")
-	w.hand("note", "n-2", 12000, 1)
-	w.await(1, "other")
-	w.await(2, "receiver")
-	w.set(func() {
-		w.trace = slices.DeleteFunc(w.trace, func(line string) bool { return strings.HasPrefix(line, "platform") })
+	env.platform = env.newPlatform("moved") // its list is counted anew
+	env.replaceReceiver(env.platform)
+	env.writeConfig()
+	env.must(env.sender.Process.Signal(syscall.SIGHUP))
+	env.awaitLines(1, "moved")
+	env.submit("note", "n-2", 12000, 1)
+	env.awaitLines(1, "other")
+	env.awaitLines(2, "receiver")
+	env.locked(func() {
+		env.trace = slices.DeleteFunc(env.trace, func(line string) bool { return strings.HasPrefix(line, "platform") })
 	})
-	w.check(`
+	env.checkTrace(`
 client: n-0 202 Accepted
 client: n-1 202 Accepted
 client: n-2 202 Accepted
@@ -464,29 +466,29 @@
 receiver: POST /events n-0 "body"
 receiver: n-0 is answered
 `)
-	w.leave()
+	env.shutDown()
 }
 
 // Clients that open connections by the hundred and say nothing, or never come to an end, must not shut out others.
 func TestSilentClients(t *testing.T) {
-	w := begin(t, `sockets = 1024`, `sockets = 100`)
+	env := startEnvironment(t, `sockets = 1024`, `sockets = 100`)
 	for i := range 300 {
-		c, err := net.Dial("tcp", w.listen)
-		w.must(err)
-		defer c.Close()
+		conn, err := net.Dial("tcp", env.listen)
+		env.must(err)
+		defer conn.Close()
 		if i%2 == 0 {
-			io.WriteString(c, "POST /note HTTP/1.1\r\nRequest-Id:")
+			io.WriteString(conn, "POST /note HTTP/1.1\r\nRequest-Id:")
 		}
 		if i%100 == 99 {
-			began := time.Now()
-			w.hand("note", fmt.Sprint("n-", i), 12000, 1)
-			if time.Since(began) > 400*time.Millisecond {
-				t.Errorf("answered after %v", time.Since(began))
+			started := time.Now()
+			env.submit("note", fmt.Sprint("n-", i), 12000, 1)
+			if time.Since(started) > 400*time.Millisecond {
+				t.Errorf("answered after %v", time.Since(started))
 			}
 		}
 	}
-	w.await(3, "receiver")
-	w.check(`
+	env.awaitLines(3, "receiver")
+	env.checkTrace(`
 client: n-99 202 Accepted
 client: n-199 202 Accepted
 client: n-299 202 Accepted
@@ -494,29 +496,29 @@
 receiver: POST /events n-199 "body"
 receiver: POST /events n-299 "body"
 `)
-	w.leave()
+	env.shutDown()
 }
 
 // Clients that each leave off within a large request must not use up the memory: the oldest are closed.
 func TestUnfinishedRequests(t *testing.T) {
-	w := begin(t, `memory = "192MiB"`, `memory = "16MiB"`)
-	half := strings.TrimSuffix(post("note", "half", 12000, 1, strings.Repeat("b", 60<<10)), "b")
+	env := startEnvironment(t, `memory = "192MiB"`, `memory = "16MiB"`)
+	incomplete := strings.TrimSuffix(submission("note", "half", 12000, 1, strings.Repeat("b", 60<<10)), "b")
 	for range 60 {
-		c, err := net.Dial("tcp", w.listen)
-		w.must(err)
-		defer c.Close()
-		io.WriteString(c, half)
+		conn, err := net.Dial("tcp", env.listen)
+		env.must(err)
+		defer conn.Close()
+		io.WriteString(conn, incomplete)
 	}
 	time.Sleep(500 * time.Millisecond)
-	w.hand("note", "n-1", 12000, 1)
-	w.await(1, "receiver")
-	w.check(`
+	env.submit("note", "n-1", 12000, 1)
+	env.awaitLines(1, "receiver")
+	env.checkTrace(`
 client: n-1 202 Accepted
 receiver: POST /events n-1 "body"
 `)
-	page, err := http.Get("http://" + w.listen + "/counters")
-	w.must(err)
-	text, _ := io.ReadAll(page.Body)
+	response, err := http.Get("http://" + env.listen + "/counters")
+	env.must(err)
+	text, _ := io.ReadAll(response.Body)
 	if !strings.Contains(string(text), "closed_crowded 44") {
 		t.Errorf("not 44 of 60 with 64 KiB each closed to stay under 1 MiB:\n%s", text)
 	}
@@ -524,18 +526,18 @@
 
 // Notices of one key go one at a time, in the order in which they came.
 func TestKeepsOrder(t *testing.T) {
-	w := begin(t, `repeat = "reissuable"`, "repeat = \"reissuable\"\nin_order = true")
-	w.answers(func(a *standin.Asked) standin.Reply {
+	env := startEnvironment(t, `repeat = "reissuable"`, "repeat = \"reissuable\"\nin_order = true")
+	env.respondWith(func(call *standin.Asked) standin.Reply {
 		time.Sleep(100 * time.Millisecond)
-		w.say("receiver: %s is through", a.ID)
+		env.record("receiver: %s is through", call.ID)
 		return standin.Reply{Status: 200}
 	})
 	for _, id := range []string{"n-1", "n-2"} {
-		w.hand("note", id, 12000, 1, "Affinity-Key: k\r\n")
-		w.await(1, "receiver")
+		env.submit("note", id, 12000, 1, "Affinity-Key: k\r\n")
+		env.awaitLines(1, "receiver")
 	}
-	w.await(4, "receiver")
-	w.check(`
+	env.awaitLines(4, "receiver")
+	env.checkTrace(`
 client: n-1 202 Accepted
 client: n-2 202 Accepted
 receiver: POST /events n-1 "body"
@@ -548,17 +550,17 @@
 // Whatever a sender had on its hands when it was killed or told to leave, each notice taken on is delivered or
 // ends, and what must not run twice does not.
 func TestManyRestarts(t *testing.T) {
-	w := begin(t, `slots = 8`, `slots = 20`)
-	draw := rand.New(rand.NewPCG(7, 7))
-	taken, ran, delivered := map[string]bool{}, map[string]int{}, map[string]bool{}
-	w.answers(func(a *standin.Asked) standin.Reply {
-		w.mu.Lock()
-		kind := draw.IntN(20)
-		if kind != 0 {
-			ran[a.ID]++
+	env := startEnvironment(t, `slots = 8`, `slots = 20`)
+	random := rand.New(rand.NewPCG(7, 7))
+	accepted, executions, delivered := map[string]bool{}, map[string]int{}, map[string]bool{}
+	env.respondWith(func(call *standin.Asked) standin.Reply {
+		env.mu.Lock()
+		behavior := random.IntN(20)
+		if behavior != 0 {
+			executions[call.ID]++
 		}
-		w.mu.Unlock()
-		switch kind {
+		env.mu.Unlock()
+		switch behavior {
 		case 0:
 			return standin.Reply{Status: 503}
 		case 1:
@@ -570,54 +572,54 @@
 		default:
 			time.Sleep(100 * time.Millisecond)
 		}
-		w.set(func() { delivered[a.ID] = true })
+		env.locked(func() { delivered[call.ID] = true })
 		return standin.Reply{Status: 200}
 	})
 	for round := range 6 {
 		for i := range 40 {
 			grade := []string{"note", "order"}[i%2]
 			id := fmt.Sprintf("%s-%d-%d", grade, round, i)
-			if strings.HasPrefix(w.speakRaw(post(grade, id, 5000, 1, "body")), "202") {
-				taken[id] = true
+			if strings.HasPrefix(env.sendRaw(submission(grade, id, 5000, 1, "body")), "202") {
+				accepted[id] = true
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 		if round%2 == 0 {
-			w.kill()
+			env.killSender()
 		} else {
-			w.leave()
+			env.shutDown()
 		}
-		w.start()
+		env.startSender()
 	}
 	for range 80 {
 		time.Sleep(100 * time.Millisecond)
-		w.mu.Lock()
-		open := len(taken)
-		all := strings.Join(w.trace, "\n")
-		for id := range taken {
-			if delivered[id] || strings.Contains(all, `"`+id+`"`) {
-				open--
+		env.mu.Lock()
+		pending := len(accepted)
+		trace := strings.Join(env.trace, "\n")
+		for id := range accepted {
+			if delivered[id] || strings.Contains(trace, `"`+id+`"`) {
+				pending--
 			}
 		}
-		w.mu.Unlock()
-		if open == 0 {
+		env.mu.Unlock()
+		if pending == 0 {
 			break
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	all := strings.Join(w.trace, "\n")
-	for id := range taken {
-		if !delivered[id] && !strings.Contains(all, `"`+id+`"`) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	trace := strings.Join(env.trace, "\n")
+	for id := range accepted {
+		if !delivered[id] && !strings.Contains(trace, `"`+id+`"`) {
 			t.Errorf("%s has no end", id)
 		}
 	}
-	for id, times := range ran {
+	for id, times := range executions {
 		if strings.HasPrefix(id, "order") && times > 1 {
 			t.Errorf("%s ran %d times", id, times)
 		}
 	}
-	if len(taken) < 100 || len(delivered) < 50 {
-		t.Errorf("%d taken, %d delivered, too few to tell", len(taken), len(delivered))
+	if len(accepted) < 100 || len(delivered) < 50 {
+		t.Errorf("%d taken, %d delivered, too few to tell", len(accepted), len(delivered))
 	}
 }
--- a/cmd/chuteweir/serve.go
+++ b/cmd/chuteweir/serve.go
@@ -16,49 +16,51 @@
 	"chuteweir.example/chuteweir/internal/loop"
 )
 
-// serve runs a sender until it is told to leave. state, format and level take the place of what the file says
-// unless they are empty.
+// serve runs a sender until SIGTERM or SIGINT ends it. The state directory, log format and log level given here
+// override those of the configuration file unless they are empty.
 func serve(path, state, format, level string) error {
-	leave, tell, reload := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(leave, syscall.SIGTERM, os.Interrupt)
-	signal.Notify(tell, syscall.SIGUSR1)
+	terminate, printCounters, reload := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
+	signal.Notify(printCounters, syscall.SIGUSR1)
 	signal.Notify(reload, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more must not end the sender
-	c, odd, err := config.Load(path, state)
+	signal.Ignore(syscall.SIGPIPE) // a log pipe whose reader is gone must not end the sender
+	loaded, warnings, err := config.Load(path, state)
 	if err != nil {
 		return err
 	}
-	if err := os.Mkdir(c.State, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
-		return fmt.Errorf("making the lasting folder: %w", err)
+	if err := os.Mkdir(loaded.State, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
+		return fmt.Errorf("creating the state directory: %w", err)
 	}
-	limits := c.Limits()
+	limits := loaded.Limits()
 	debug.SetMemoryLimit(limits.Memory)
-	// The poller waits in the kernel and the loop must not wait for it to be found there.
+	// The poller's thread blocks in a system call. With spare processors, the loop need not wait until the Go
+	// scheduler notices that and hands its processor on.
 	runtime.GOMAXPROCS(max(int(math.Ceil(limits.Cores))+2, 3))
 	if format != "" {
-		c.Format = format
+		loaded.Format = format
 	}
 	if level != "" {
-		c.Level = level
+		loaded.Level = level
 	}
-	log, lines := logs.New(os.Stderr, c.Format, c.Level)
-	defer lines.Close()
-	log = log.With("name", c.Name)
-	l, err := loop.New(told(c), log)
+	log, output := logs.New(os.Stderr, loaded.Format, loaded.Level)
+	defer output.Close()
+	log = log.With("name", loaded.Name)
+	sender, err := loop.New(loopConfig(loaded), log)
 	if err != nil {
 		return err
 	}
-	for _, fault := range odd {
-		log.Warn(logs.ConfigOdd, "why", fault.Error())
+	for _, warning := range warnings {
+		log.Warn(logs.ConfigOdd, "why", warning.Error())
 	}
-	l.Run(loop.Signals{Leave: leave, Tell: tell, Reload: reload, Read: func() (loop.Config, error) {
-		fresh, _, err := config.Load(path, state)
-		return told(fresh), err
+	sender.Run(loop.Signals{Leave: terminate, Tell: printCounters, Reload: reload, Read: func() (loop.Config, error) {
+		reloaded, _, err := config.Load(path, state)
+		return loopConfig(reloaded), err
 	}})
 	return nil
 }
 
-func told(c config.Config) loop.Config {
-	return loop.Config{Listen: c.Listen, Discovery: c.Discovery, State: c.State, Seed: c.Seed, Settings: c.Settings,
-		Names: c.Names, Known: c.Known, Limits: c.Limits()}
+// loopConfig returns the part of a configuration that the loop uses.
+func loopConfig(loaded config.Config) loop.Config {
+	return loop.Config{Listen: loaded.Listen, Discovery: loaded.Discovery, State: loaded.State, Seed: loaded.Seed,
+		Settings: loaded.Settings, Names: loaded.Names, Known: loaded.Known, Limits: loaded.Limits()}
 }
--- a/cmd/chuteweir/waits_test.go
+++ b/cmd/chuteweir/waits_test.go
@@ -9,116 +9,127 @@
 	"chuteweir.example/chuteweir/internal/standin"
 )
 
-// These tests hold calls of a real sender against the waits that its destination has told.
+// These tests check that a sender process makes no calls to a destination during a wait that the destination requested
+// by Retry-After.
 
-// waitWatch answers calls and notes those that come while a wait that it has told goes on.
-type waitWatch struct {
-	*world
-	mu     sync.Mutex
-	told   time.Time
-	until  time.Time
-	inWait []string
+// waitChecker responds to calls and records those that arrive during a requested wait.
+type waitChecker struct {
+	*environment
+	mu          sync.Mutex
+	requestedAt time.Time
+	until       time.Time // the end of the wait
+	callsInWait []string
 }
 
-// crossing is how long after a told wait calls may come that had left before.
-const crossing = 100 * time.Millisecond
+// inFlightTolerance is how long after the request for a wait calls may arrive that were sent before the sender read it.
+const inFlightTolerance = 100 * time.Millisecond
 
-func watchWaits(w *world) *waitWatch { return &waitWatch{world: w} }
+// newWaitChecker returns a checker for the calls that an environment's receivers get.
+func newWaitChecker(env *environment) *waitChecker { return &waitChecker{environment: env} }
 
-// arrived notes a call.
-func (w *waitWatch) arrived(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if now := time.Now(); now.After(w.told.Add(crossing)) && now.Before(w.until) {
-		w.inWait = append(w.inWait, id)
+// recordCall records a call if it arrives during the wait.
+func (c *waitChecker) recordCall(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now := time.Now(); now.After(c.requestedAt.Add(inFlightTolerance)) && now.Before(c.until) {
+		c.callsInWait = append(c.callsInWait, id)
 	}
 }
 
-// tells notes that a wait is about to be told.
-func (w *waitWatch) tells(wait time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.told, w.until = time.Now(), time.Now().Add(wait)
+// recordWait records that a wait is about to be requested.
+func (c *waitChecker) recordWait(wait time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requestedAt, c.until = time.Now(), time.Now().Add(wait)
 }
 
-func (w *waitWatch) hasTold() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return !w.told.IsZero()
+// waitRequested reports whether a wait has been requested.
+func (c *waitChecker) waitRequested() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.requestedAt.IsZero()
 }
 
-func (w *waitWatch) checkWaits() {
-	w.t.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.inWait) > 0 {
-		w.t.Errorf("called within a told wait: %s\n%s", strings.Join(w.inWait, ", "), w.log)
+// checkWaits fails the test if calls arrived during the wait.
+func (c *waitChecker) checkWaits() {
+	c.t.Helper()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.callsInWait) > 0 {
+		c.t.Errorf("calls arrived during the requested wait: %s\n%s", strings.Join(c.callsInWait, ", "), c.log)
 	}
 }
 
-func TestCallWhoseConnectionComesUpWithinToldWaitIsKeptBack(t *testing.T) {
-	w := watchWaits(begin(t, `connect_time = "500ms"`, `connect_time = "3s"`))
-	w.answers(func(a *standin.Asked) standin.Reply {
-		w.arrived(a.ID)
-		if a.ID != "tells" || w.hasTold() {
+// Guards against a call being sent because its connection is established, although the destination has requested a wait
+// while the connection was being opened.
+func TestCallIsNotSentOnConnectionOpenedDuringRequestedWait(t *testing.T) {
+	checker := newWaitChecker(startEnvironment(t, `connect_time = "500ms"`, `connect_time = "3s"`))
+	checker.respondWith(func(call *standin.Asked) standin.Reply {
+		checker.recordCall(call.ID)
+		if call.ID != "limited" || checker.waitRequested() {
 			return standin.Reply{Status: 200}
 		}
 		time.Sleep(300 * time.Millisecond)
-		w.tells(2 * time.Second)
+		checker.recordWait(2 * time.Second)
 		return standin.Reply{Status: 429, Fields: []string{"Retry-After: 2"}}
 	})
-	w.hand("note", "warm", 9000, 1) // leaves an idle connection behind
-	w.await(1, "receiver: POST /events warm")
+	checker.submit("note", "warm", 9000, 1) // leaves an idle connection, which the next call uses
+	checker.awaitLines(1, "receiver: POST /events warm")
 	time.Sleep(100 * time.Millisecond)
-	w.must(w.gateways.Block("s-1-1"))
-	w.hand("note", "tells", 9000, 1)
-	w.await(1, "receiver: POST /events tells")
-	w.hand("note", "late", 9000, 1) // its connection comes up with the kernel's second attempt, after 1 s
+	checker.must(checker.gateways.Block("s-1-1"))
+	checker.submit("note", "limited", 9000, 1)
+	checker.awaitLines(1, "receiver: POST /events limited")
+	checker.submit("note", "late", 9000, 1) // its connection is established by the kernel's second SYN, after 1 s
 	time.Sleep(500 * time.Millisecond)
-	w.must(w.gateways.Unblock("s-1-1"))
-	w.await(2, "receiver: POST /events tells")
-	w.await(1, "receiver: POST /events late")
-	w.checkWaits()
+	checker.must(checker.gateways.Unblock("s-1-1"))
+	checker.awaitLines(2, "receiver: POST /events limited")
+	checker.awaitLines(1, "receiver: POST /events late")
+	checker.checkWaits()
 }
 
-// heedsWait checks that nothing is sent within a wait of 2 s that is told by the way a receiver answers a first call.
-func heedsWait(t *testing.T, first func(*waitWatch, *standin.Asked) standin.Reply, replaced ...string) {
-	w := watchWaits(begin(t, replaced...))
-	w.answers(func(a *standin.Asked) standin.Reply {
-		w.arrived(a.ID)
-		if a.ID != "tells" || w.hasTold() {
+// checkWaitIsFollowed checks that nothing is sent during a wait of 2 s that a receiver requests when it responds to the
+// first call.
+func checkWaitIsFollowed(t *testing.T, respondFirst func(*waitChecker, *standin.Asked) standin.Reply, replacements ...string) {
+	checker := newWaitChecker(startEnvironment(t, replacements...))
+	checker.respondWith(func(call *standin.Asked) standin.Reply {
+		checker.recordCall(call.ID)
+		if call.ID != "limited" || checker.waitRequested() {
 			return standin.Reply{Status: 200}
 		}
-		return first(w, a)
+		return respondFirst(checker, call)
 	})
-	w.hand("note", "tells", 9000, 1)
-	for !w.hasTold() {
+	checker.submit("note", "limited", 9000, 1)
+	for !checker.waitRequested() {
 		time.Sleep(10 * time.Millisecond)
 	}
-	time.Sleep(2 * crossing)
-	w.hand("note", "next", 9000, 1)
-	w.await(1, "receiver: POST /events next")
-	w.checkWaits()
+	time.Sleep(2 * inFlightTolerance)
+	checker.submit("note", "next", 9000, 1)
+	checker.awaitLines(1, "receiver: POST /events next")
+	checker.checkWaits()
 }
 
-func TestWaitOfAnswerThatDoesNotEndIsHeeded(t *testing.T) {
+// Guards against ignoring the Retry-After header of a response whose head or body never ends.
+func TestWaitOfIncompleteResponseIsFollowed(t *testing.T) {
 	for name, raw := range map[string]string{
 		"body": "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 2\r\nContent-Length: 10\r\n\r\nhalf",
 		"head": "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 2\r\nServer: slow",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			heedsWait(t, func(w *waitWatch, _ *standin.Asked) standin.Reply {
-				w.tells(2 * time.Second)
+			checkWaitIsFollowed(t, func(checker *waitChecker, _ *standin.Asked) standin.Reply {
+				checker.recordWait(2 * time.Second)
 				return standin.Reply{Raw: raw}
 			})
 		})
 	}
 }
-func TestWaitOfAnswerThatCrossesGivingUpIsHeeded(t *testing.T) {
-	heedsWait(t, func(w *waitWatch, a *standin.Asked) standin.Reply {
-		<-a.Gone
-		w.tells(2 * time.Second)
+
+// Guards against ignoring the Retry-After header of a response that arrives when the sender has just ended its call for
+// taking too long.
+func TestWaitOfResponseAfterTimeoutIsFollowed(t *testing.T) {
+	checkWaitIsFollowed(t, func(checker *waitChecker, call *standin.Asked) standin.Reply {
+		<-call.Gone
+		checker.recordWait(2 * time.Second)
 		return standin.Reply{Status: 429, Fields: []string{"Retry-After: 2"}}
 	}, `quoted = "3s"`, `quoted = "300ms"`)
 }
--- a/cmd/chuteweir/world_test.go
+++ b/cmd/chuteweir/world_test.go
@@ -24,9 +24,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The stand-ins around a sender under test, and what is seen of it.
+// This file holds the test environment: the simulated gateways and platform around a sender process, and a record of
+// what they receive from it.
 
-const madeUp = `
+// testScenario is the scenario that the tests run, with a few values replaced by some of them.
+const testScenario = `
 name = "made up"
 [machine]
 memory = "192MiB"
@@ -66,287 +68,303 @@
 name = "s"
 kind = "shop"
 limit = "20/s"
-[[gateway]] # destination 2, whose only receiver drains
+[[gateway]] # destination 2, whose only receiver is draining
 name = "t"
 `
 
-// page is text that several goroutines may write.
-type page struct {
+// syncBuffer is a text buffer that several goroutines may write to.
+type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (p *page) Write(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.text.Write(b)
+func (s *syncBuffer) Write(b []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.text.Write(b)
 }
 
-func (p *page) String() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.text.String()
+func (s *syncBuffer) String() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.text.String()
 }
 
-// world is stand-ins, and what is seen of the sender under test.
-type world struct {
+// environment is a sender process under test, with the simulated gateways and platform around it.
+type environment struct {
 	t        *testing.T
-	stage    *standin.Stage
+	instance *standin.Stage
 	gateways *standin.Gateways
 	platform *standin.Platform
 
-	mu      sync.Mutex
-	trace   []string
-	takes   bool   // whether the platform takes notices of ends
-	rejects string // what it can't read among them
-	garbage string // what it tells in place of the list
-	answer  func(*standin.Asked) standin.Reply
-
-	listen, state, path string
-	config              config.Config
-	sender              *exec.Cmd
-	log                 *page
+	mu               sync.Mutex
+	trace            []string // a line for each call, outcome report and answer to a client, in the order received
+	acceptsReports   bool     // whether the platform accepts outcome reports; if not, it responds with 500
+	unreadableReport string   // the platform responds with 400 to reports that contain this text, unless it is empty
+	listReplacement  string   // what the platform sends in place of the receiver list, unless it is empty
+	respond          func(*standin.Asked) standin.Reply
+
+	listen, stateDirectory, configPath string
+	config                             config.Config
+	sender                             *exec.Cmd
+	log                                *syncBuffer
 }
 
-// begin starts a sender with the made-up settings and limits, some words of them replaced.
-func begin(t *testing.T, replaced ...string) *world {
-	s, faults := scenario.Read("made up", []byte(strings.NewReplacer(replaced...).Replace(madeUp)))
+// startEnvironment starts a sender in its own environment, with the settings and limits of testScenario. Replacements
+// are pairs of old and new texts in it.
+func startEnvironment(t *testing.T, replacements ...string) *environment {
+	parsed, faults := scenario.Read("made up", []byte(strings.NewReplacer(replacements...).Replace(testScenario)))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	w := &world{t: t, takes: true, state: t.TempDir(), path: filepath.Join(t.TempDir(), "config.json"),
-		stage:  standin.NewStage(scenario.Lay(s)),
-		answer: func(*standin.Asked) standin.Reply { return standin.Reply{Status: 200} }}
-	t.Cleanup(w.stage.Close)
+	env := &environment{t: t, acceptsReports: true, stateDirectory: t.TempDir(),
+		configPath: filepath.Join(t.TempDir(), "config.json"),
+		instance:   standin.NewStage(scenario.Lay(parsed)),
+		respond:    func(*standin.Asked) standin.Reply { return standin.Reply{Status: 200} }}
+	t.Cleanup(env.instance.Close)
 	var err error
-	w.gateways, err = standin.NewGateways(w.stage)
-	w.must(err)
-	w.gateways.Script = w.receive
-	w.platform = w.newPlatform("platform")
-	w.listen = w.stage.Free()
-	w.config = config.Config{Name: "n0", Listen: w.listen, Seed: 0x8c1f30d27a5be964, Machine: s.Machine, Settings: s.Settings, Names: s.Names}
-	t.Cleanup(w.kill)
-	w.start()
-	return w
+	env.gateways, err = standin.NewGateways(env.instance)
+	env.must(err)
+	env.gateways.Script = env.receiveCall
+	env.platform = env.newPlatform("platform")
+	env.listen = env.instance.Free()
+	env.config = config.Config{Name: "n0", Listen: env.listen, Seed: 0x8c1f30d27a5be964, Machine: parsed.Machine,
+		Settings: parsed.Settings, Names: parsed.Names}
+	t.Cleanup(env.killSender)
+	env.startSender()
+	return env
 }
 
-func (w *world) must(err error) {
-	w.t.Helper()
+// must fails the test if there is an error.
+func (env *environment) must(err error) {
+	env.t.Helper()
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 }
 
-// newPlatform opens a platform that is heard under a name.
-func (w *world) newPlatform(name string) *standin.Platform {
-	p, err := standin.NewPlatform(w.stage, w.gateways, 1)
-	w.must(err)
-	p.Answer = func(_ int, out http.ResponseWriter, r *http.Request, body []byte) bool {
-		w.mu.Lock()
-		takes, rejects, garbage := w.takes || name != "platform", w.rejects, w.garbage
-		w.mu.Unlock()
+// newPlatform opens a simulated platform that records the outcome reports it receives under its name. Only the one
+// named "platform" can be made to refuse reports.
+func (env *environment) newPlatform(name string) *standin.Platform {
+	platform, err := standin.NewPlatform(env.instance, env.gateways, 1)
+	env.must(err)
+	platform.Answer = func(_ int, writer http.ResponseWriter, request *http.Request, body []byte) bool {
+		env.mu.Lock()
+		acceptsReports, unreadableReport, listReplacement :=
+			env.acceptsReports || name != "platform", env.unreadableReport, env.listReplacement
+		env.mu.Unlock()
 		switch {
-		case r.Method == "GET" && garbage != "":
+		case request.Method == "GET" && listReplacement != "":
 			time.Sleep(20 * time.Millisecond)
-			io.WriteString(out, garbage)
+			io.WriteString(writer, listReplacement)
 			return true
-		case r.Method == "GET":
+		case request.Method == "GET":
 			return false
-		case rejects != "" && strings.Contains(string(body), rejects):
-			out.WriteHeader(400)
+		case unreadableReport != "" && strings.Contains(string(body), unreadableReport):
+			writer.WriteHeader(400)
 			return true
 		}
-		w.say("%s: %s", name, strings.TrimSpace(string(body)))
-		if !takes {
-			out.WriteHeader(500)
+		env.record("%s: %s", name, strings.TrimSpace(string(body)))
+		if !acceptsReports {
+			writer.WriteHeader(500)
 		}
-		return !takes
+		return !acceptsReports
 	}
-	p.Change(w.member("t-2-1", 2, "draining"))
-	return p
+	platform.Change(env.member("t-2-1", 2, "draining"))
+	return platform
 }
 
-func (w *world) member(id string, destination int, phase string) directory.Member {
-	return directory.Member{ID: id, HostPort: w.gateways.Address(id), Locality: "here", Flavor: "shop", Cell: int64(destination),
+// member returns the entry of a receiver in the receiver list.
+func (env *environment) member(id string, destination int, phase string) directory.Member {
+	return directory.Member{ID: id, HostPort: env.gateways.Address(id), Locality: "here", Flavor: "shop", Cell: int64(destination),
 		Phase: phase, Size: 20}
 }
 
-// replace lists another receiver of destination 1 in the first one's place.
-func (w *world) replace(p *standin.Platform) {
-	w.must(w.gateways.Open("other", 1))
-	p.Change(w.member("s-1-1", 1, "gone"), w.member("other", 1, "ready"))
+// replaceReceiver removes the first receiver of destination 1 from a platform's receiver list and adds another one.
+func (env *environment) replaceReceiver(platform *standin.Platform) {
+	env.must(env.gateways.Open("other", 1))
+	platform.Change(env.member("s-1-1", 1, "gone"), env.member("other", 1, "ready"))
 }
 
-func (w *world) say(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.trace = append(w.trace, fmt.Sprintf(format, args...))
+// record appends a line to the trace.
+func (env *environment) record(format string, args ...any) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.trace = append(env.trace, fmt.Sprintf(format, args...))
 }
 
-// heard is the trace so far.
-func (w *world) heard() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.trace)
+// recorded returns a copy of the trace.
+func (env *environment) recorded() []string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return slices.Clone(env.trace)
 }
 
-// hear puts another trace in its place.
-func (w *world) hear(trace []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.trace = trace
+// setTrace replaces the trace.
+func (env *environment) setTrace(trace []string) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.trace = trace
 }
 
-func (w *world) set(change func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// locked runs a change of the environment under its lock.
+func (env *environment) locked(change func()) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	change()
 }
 
-// receive is the receivers.
-func (w *world) receive(a *standin.Asked) standin.Reply {
+// receiveCall records a call to any receiver and responds to it.
+func (env *environment) receiveCall(call *standin.Asked) standin.Reply {
 	name := "receiver"
-	if a.Receiver == "other" {
+	if call.Receiver == "other" {
 		name = "other"
 	}
-	w.say("%s: POST %s %s %q%s", name, a.Path, a.ID, a.Body, a.Mark)
-	w.mu.Lock()
-	answer := w.answer
-	w.mu.Unlock()
-	return answer(a)
+	env.record("%s: POST %s %s %q%s", name, call.Path, call.ID, call.Body, call.Mark)
+	env.mu.Lock()
+	respond := env.respond
+	env.mu.Unlock()
+	return respond(call)
 }
 
-// answers says how receivers answer from now on.
-func (w *world) answers(f func(*standin.Asked) standin.Reply) { w.set(func() { w.answer = f }) }
+// respondWith sets how receivers respond from now on.
+func (env *environment) respondWith(respond func(*standin.Asked) standin.Reply) {
+	env.locked(func() { env.respond = respond })
+}
 
-// fine is what receivers answer when all is well.
-func fine(*standin.Asked) standin.Reply { return standin.Reply{Status: 200} }
+// respondOK responds with status 200 to a call.
+func respondOK(*standin.Asked) standin.Reply { return standin.Reply{Status: 200} }
 
-// configure writes the sender's configuration.
-func (w *world) configure() {
-	w.config.Discovery, w.config.Known = w.platform.Address(0), w.platform.List()
-	text, err := w.config.Platform()
-	w.must(err)
-	w.must(os.WriteFile(w.path, text, 0o600))
+// writeConfig writes the sender's configuration file, with the present address and receiver list of the platform.
+func (env *environment) writeConfig() {
+	env.config.Discovery, env.config.Known = env.platform.Address(0), env.platform.List()
+	text, err := env.config.Platform()
+	env.must(err)
+	env.must(os.WriteFile(env.configPath, text, 0o600))
 }
 
-func (w *world) start() {
-	w.t.Helper()
-	w.configure()
-	w.log = &page{}
-	w.sender = exec.Command(program)
-	w.sender.Env = append(os.Environ(), "PROXY_CONFIG="+w.path, "PROXY_STATE="+w.state, "GORACE=atexit_sleep_ms=100")
-	w.sender.Stdout, w.sender.Stderr = w.log, w.log
-	w.must(w.sender.Start())
+// startSender starts the sender process and waits until it is ready.
+func (env *environment) startSender() {
+	env.t.Helper()
+	env.writeConfig()
+	env.log = &syncBuffer{}
+	env.sender = exec.Command(program)
+	env.sender.Env = append(os.Environ(), "PROXY_CONFIG="+env.configPath, "PROXY_STATE="+env.stateDirectory,
+		"GORACE=atexit_sleep_ms=100")
+	env.sender.Stdout, env.sender.Stderr = env.log, env.log
+	env.must(env.sender.Start())
 	for range 500 {
-		// Its line may be written after its first answer: the log is never waited for.
-		if out, err := http.Get("http://" + w.listen + "/up"); err == nil {
-			out.Body.Close()
-			if strings.Contains(w.log.String(), "msg=ready") {
+		// The sender never waits for its log, so the line "ready" may appear after its first response.
+		if response, err := http.Get("http://" + env.listen + "/up"); err == nil {
+			response.Body.Close()
+			if strings.Contains(env.log.String(), "msg=ready") {
 				return
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	w.t.Fatalf("the sender did not come up: %s", w.log)
+	env.t.Fatalf("the sender was not ready within 500 attempts: %s", env.log)
 }
 
-func (w *world) kill() {
-	w.sender.Process.Kill()
-	w.sender.Wait()
-	if strings.Contains(w.log.String(), "DATA RACE") {
-		w.t.Errorf("a race in the sender:\n%s", w.log)
+// killSender kills the sender process, and fails the test if the race detector has reported a race in it.
+func (env *environment) killSender() {
+	env.sender.Process.Kill()
+	env.sender.Wait()
+	if strings.Contains(env.log.String(), "DATA RACE") {
+		env.t.Errorf("data race in the sender:\n%s", env.log)
 	}
 }
 
-// hand hands a notice in and writes down what the client hears.
-func (w *world) hand(grade, id string, left, to int, more ...string) {
-	w.say("client: %s %s", id, w.speakRaw(post(grade, id, left, to, "body", more...)))
+// submit submits a notice and records the sender's answer to the client.
+func (env *environment) submit(grade, id string, timeoutMS, destination int, headers ...string) {
+	env.record("client: %s %s", id, env.sendRaw(submission(grade, id, timeoutMS, destination, "body", headers...)))
 }
 
-func post(grade, id string, left, to int, body string, more ...string) string {
+// submission returns the text of an HTTP request that submits a notice.
+func submission(grade, id string, timeoutMS, destination int, body string, headers ...string) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nTenant: acme\r\n"+
 		"Request-Timeout-Ms: %d\r\nX-Consignee: dest=%d\r\nContent-Length: %d\r\n%s\r\n%s",
-		grade, id, grade, left, to, len(body), strings.Join(more, ""), body)
+		grade, id, grade, timeoutMS, destination, len(body), strings.Join(headers, ""), body)
 }
 
-// speakRaw sends bytes on a connection of its own and returns the answer in short.
-func (w *world) speakRaw(text string) string {
-	c, err := net.Dial("tcp", w.listen)
+// sendRaw sends bytes to the sender on a new connection and returns a summary of the first answer.
+func (env *environment) sendRaw(request string) string {
+	conn, err := net.Dial("tcp", env.listen)
 	if err != nil {
 		return "no connection"
 	}
-	defer c.Close()
-	io.WriteString(c, text)
-	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+	defer conn.Close()
+	io.WriteString(conn, request)
+	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return "no answer"
 	}
-	short := answer.Status
-	if answer.Close {
-		short += ", closing"
+	summary := response.Status
+	if response.Close {
+		summary += ", closing"
 	}
-	if after := answer.Header.Get("Retry-After"); after != "" {
-		short += ", retry after " + after
+	if retryAfter := response.Header.Get("Retry-After"); retryAfter != "" {
+		summary += ", retry after " + retryAfter
 	}
-	return short
+	return summary
 }
 
-// await waits until so many lines of the trace begin with a text.
-func (w *world) await(count int, with string) {
-	w.t.Helper()
+// awaitLines waits until a number of lines of the trace begin with a text.
+func (env *environment) awaitLines(count int, prefix string) {
+	env.t.Helper()
 	seen := 0
 	for range 600 {
-		w.mu.Lock()
+		env.mu.Lock()
 		seen = 0
-		for _, line := range w.trace {
-			if strings.HasPrefix(line, with) {
+		for _, line := range env.trace {
+			if strings.HasPrefix(line, prefix) {
 				seen++
 			}
 		}
-		w.mu.Unlock()
+		env.mu.Unlock()
 		if seen >= count {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	page, err := http.Get("http://" + w.listen + "/counters")
+	response, err := http.Get("http://" + env.listen + "/counters")
 	if err == nil {
-		text, _ := io.ReadAll(page.Body)
-		w.t.Logf("counters: %s", text)
+		text, _ := io.ReadAll(response.Body)
+		env.t.Logf("counters: %s", text)
 	}
-	w.t.Fatalf("%d of %d lines with %q in\n%s\n%s", seen, count, with, strings.Join(w.heard(), "\n"), w.log)
+	env.t.Fatalf("%d of %d lines begin with %q in\n%s\n%s", seen, count, prefix, strings.Join(env.recorded(), "\n"), env.log)
 }
 
-// check compares the trace, sorted by who speaks: what is said on different connections has no order.
-func (w *world) check(want string) {
-	w.t.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	who := func(line string) string { name, _, _ := strings.Cut(line, ":"); return name }
-	slices.SortStableFunc(w.trace, func(a, b string) int { return strings.Compare(who(a), who(b)) })
-	if diff := cmp.Diff(strings.TrimSpace(want), strings.Join(w.trace, "\n")); diff != "" {
-		w.t.Errorf("-want +got:\n%s\n%s", diff, w.log)
+// checkTrace compares the trace with the one expected. It sorts the lines by the text before the colon, as lines from
+// different connections have no defined order.
+func (env *environment) checkTrace(want string) {
+	env.t.Helper()
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	source := func(line string) string { name, _, _ := strings.Cut(line, ":"); return name }
+	slices.SortStableFunc(env.trace, func(a, b string) int { return strings.Compare(source(a), source(b)) })
+	if diff := cmp.Diff(strings.TrimSpace(want), strings.Join(env.trace, "\n")); diff != "" {
+		env.t.Errorf("-want +got:\n%s\n%s", diff, env.log)
 	}
 }
 
-// leave ends the sender by SIGTERM and checks how it goes.
-func (w *world) leave() {
-	w.t.Helper()
-	began := time.Now()
-	w.must(w.sender.Process.Signal(syscall.SIGTERM))
-	if err := w.sender.Wait(); err != nil || time.Since(began) > 3500*time.Millisecond {
-		w.t.Errorf("left after %v: %v\n%s", time.Since(began), err, w.log)
+// shutDown ends the sender by SIGTERM and checks that it exits without an error within 3.5 s.
+func (env *environment) shutDown() {
+	env.t.Helper()
+	started := time.Now()
+	env.must(env.sender.Process.Signal(syscall.SIGTERM))
+	if err := env.sender.Wait(); err != nil || time.Since(started) > 3500*time.Millisecond {
+		env.t.Errorf("the sender exited %v after SIGTERM: %v\n%s", time.Since(started), err, env.log)
 	}
 }
 
-// count writes down the counters of notices handed in and of calls.
-func (w *world) count() {
-	w.t.Helper()
+// recordCounters appends the counters of submitted notices and of calls to the trace.
+func (env *environment) recordCounters() {
+	env.t.Helper()
 	time.Sleep(50 * time.Millisecond)
-	page, err := http.Get("http://" + w.listen + "/counters")
-	w.must(err)
-	text, _ := io.ReadAll(page.Body)
-	w.say("%s", strings.ReplaceAll(strings.Join(strings.Fields(string(text))[:20], " "), "chuteweir_", ""))
+	response, err := http.Get("http://" + env.listen + "/counters")
+	env.must(err)
+	text, _ := io.ReadAll(response.Body)
+	env.record("%s", strings.ReplaceAll(strings.Join(strings.Fields(string(text))[:20], " "), "chuteweir_", ""))
 }
