--- a/cmd/chuteweir/bursts_test.go
+++ b/cmd/chuteweir/bursts_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// burst sends several requests at once on one connection. It returns the statuses of the answers that arrive, and whether
-// the last one announces that the connection is closed. It calls afterFirst after the first answer.
+// burst sends several requests at once on one connection. It returns the statuses of the answers that arrive, and
+// whether the last one announces that the connection is closed. It calls afterFirst after the first answer.
 func (env *environment) burst(requests []string, afterFirst func()) (statuses []int, closing bool) {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.listen)
@@ -49,7 +49,8 @@
 
 // startLargeEnvironment starts a sender that has capacity for all notices of a burst.
 func startLargeEnvironment(t *testing.T) *environment {
-	env := startEnvironment(t, "hold = 50", "hold = 5000", `disk = "1MB"`, `disk = "50MB"`, `limit = "20/s"`, `limit = "2000/s"`)
+	env := startEnvironment(t, "hold = 50", "hold = 5000",
+		`disk = "1MB"`, `disk = "50MB"`, `limit = "20/s"`, `limit = "2000/s"`)
 	env.respondWith(respondOK)
 	return env
 }
@@ -88,13 +89,15 @@
 	env.shutDown()
 }
 
-// Guards against leaving requests unanswered that were read after a refused one whose answer could close the connection.
+// Guards against leaving requests unanswered that were read after a refused one whose answer could close the
+// connection.
 func TestRequestsAfterARefusedOneAreAnswered(t *testing.T) {
 	env := startLargeEnvironment(t)
 	for _, refused := range []string{submission("note", "lost", 12000, 70000, ""), submission("x", "odd", 12000, 1, ""),
 		"PUT /note HTTP/1.1\r\nContent-Length: 0\r\n\r\n", submission("note", "", 12000, 1, "")} {
 		name, _, _ := strings.Cut(refused, " HTTP")
-		requests := append(append(submissions(name[1:4]+fmt.Sprint(len(refused)), 3, 10), refused), submissions(fmt.Sprint(len(refused)), 6, 9000)...)
+		requests := append(append(submissions(name[1:4]+fmt.Sprint(len(refused)), 3, 10), refused),
+			submissions(fmt.Sprint(len(refused)), 6, 9000)...)
 		if statuses, closing := env.burst(requests, doNothing); len(statuses) != 10 || closing {
 			t.Errorf("requests after %q: answers %v, closing: %v", name, statuses, closing)
 		}
@@ -110,14 +113,16 @@
 func TestEachRequestOfABurstIsAnsweredDuringShutdown(t *testing.T) {
 	for _, size := range []struct{ count, body int }{{150, 40}, {60, 4000}, {16, 8 << 10}} {
 		env := startLargeEnvironment(t)
-		statuses, closing := env.burst(submissions("c", size.count, size.body), func() { env.sender.Process.Signal(syscall.SIGTERM) })
+		statuses, closing := env.burst(submissions("c", size.count, size.body),
+			func() { env.sender.Process.Signal(syscall.SIGTERM) })
 		for i, status := range statuses {
 			if status != 202 && status != 503 {
 				t.Errorf("answer %d is %d", i, status)
 			}
 		}
 		if len(statuses) != size.count || statuses[len(statuses)-1] == 503 && !closing {
-			t.Errorf("%d answers to %d requests of %d bytes, the last one closing: %v", len(statuses), size.count, size.body, closing)
+			t.Errorf("%d answers to %d requests of %d bytes, the last one closing: %v", len(statuses), size.count,
+				size.body, closing)
 		}
 		env.sender.Wait()
 	}
--- a/cmd/chuteweir/clock_test.go
+++ b/cmd/chuteweir/clock_test.go
@@ -8,8 +8,8 @@
 	"chuteweir.example/chuteweir/internal/standin"
 )
 
-// stepWallClock rewrites a killed sender's ledger with all wall-clock times shifted back by the step, as if the wall clock
-// had been stepped by it since the ledger was written.
+// stepWallClock rewrites a killed sender's ledger with all wall-clock times shifted back by the step, as if the
+// wall clock had been stepped by it since the ledger was written.
 func (env *environment) stepWallClock(step time.Duration) {
 	env.t.Helper()
 	const capacity = 1 << 20
@@ -33,8 +33,8 @@
 	fresh.Close()
 }
 
-// Guards against a restarted sender that trusts the wall clock alone: after a step forward it would end held notices at
-// once, and after a step back it would keep them far beyond their client timeout.
+// Guards against a restarted sender that trusts the wall clock alone: after a step forward it would end held
+// notices at once, and after a step back it would keep them far beyond their client timeout.
 func TestHeldNoticeSurvivesWallClockStep(t *testing.T) {
 	for name, step := range map[string]time.Duration{"forward": time.Hour, "back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/chuteweir/commands.go
+++ b/cmd/chuteweir/commands.go
@@ -25,8 +25,8 @@
 	root := cli.Prepare(&cobra.Command{
 		Use:   "chuteweir",
 		Short: "Deliver notices to many destinations, some of which may be failing",
-		Long: `chuteweir accepts notices from clients over HTTP/1.1, keeps each until its client timeout, and delivers it to its
-destination by a call to one of the destination's receivers.
+		Long: `chuteweir accepts notices from clients over HTTP/1.1, keeps each until its client timeout, and delivers it
+to its destination by a call to one of the destination's receivers.
 
 Without arguments it runs a sender with the configuration file PROXY_CONFIG and the state directory PROXY_STATE.
 Exit status: 0 success, 1 failure, 2 wrong usage.`,
@@ -53,8 +53,8 @@
 	var state, format, level string
 	command := &cobra.Command{
 		Use: "serve FILE", Short: "Run a sender with a configuration file", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `serve runs a sender with a configuration in TOML (docs/configuration.md) or in the platform's JSON. SIGTERM shuts it
-down, SIGHUP makes it reload the file, and SIGUSR1 makes it print its counters.`,
+		Long: `serve runs a sender with a configuration in TOML (docs/configuration.md) or in the platform's JSON. SIGTERM
+shuts it down, SIGHUP makes it reload the file, and SIGUSR1 makes it print its counters.`,
 		Example: `  chuteweir serve sender.toml
   chuteweir serve --log-format json --log-level debug sender.toml`,
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -67,9 +67,11 @@
 			return serve(args[0], state, format, level)
 		},
 	}
-	command.Flags().StringVar(&state, "state", os.Getenv("PROXY_STATE"), "state directory; overrides the one in the configuration file")
+	command.Flags().StringVar(&state, "state", os.Getenv("PROXY_STATE"),
+		"state directory; overrides the one in the configuration file")
 	command.Flags().StringVar(&format, "log-format", "", "text or json; overrides the format in the configuration file")
-	command.Flags().StringVar(&level, "log-level", "", "debug, info, warn or error; overrides the level in the configuration file")
+	command.Flags().StringVar(&level, "log-level", "",
+		"debug, info, warn or error; overrides the level in the configuration file")
 	return command
 }
 
@@ -103,7 +105,8 @@
 		},
 	}
 	printCommand := &cobra.Command{
-		Use: "print FILE", Short: "Print a configuration in TOML, each key with its effective value", Args: cli.Args(cobra.ExactArgs(1)),
+		Use: "print FILE", Short: "Print a configuration in TOML, each key with its effective value",
+		Args:    cli.Args(cobra.ExactArgs(1)),
 		Example: "  chuteweir config print sender.toml",
 		RunE: func(command *cobra.Command, args []string) error {
 			loaded, _, err := config.Load(args[0], "")
@@ -115,8 +118,8 @@
 	}
 	convertCommand := &cobra.Command{
 		Use: "convert FILE", Short: "Convert TOML into the platform's JSON, and JSON into TOML", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `convert writes the other format to standard output. JSON cannot hold the state directory and the log settings; TOML
-holds only those of the platform's settings that a sender reads.`,
+		Long: `convert writes the other format to standard output. JSON cannot hold the state directory and the log settings;
+TOML holds only those of the platform's settings that a sender reads.`,
 		Example: "  chuteweir config convert config.json > sender.toml",
 		RunE: func(command *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
@@ -172,12 +175,14 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(command.OutOrStdout(), "%d bytes, %d records, %d notices pending\n", report.Bytes, report.Records, len(report.Owed))
+			fmt.Fprintf(command.OutOrStdout(), "%d bytes, %d records, %d notices pending\n", report.Bytes, report.Records,
+				len(report.Owed))
 			for _, kind := range slices.Sorted(mapKeys(report.Kinds)) {
 				fmt.Fprintf(command.OutOrStdout(), "  %-12s %d\n", kind, report.Kinds[kind])
 			}
 			if report.Torn > 0 {
-				return fmt.Errorf("%d bytes at the end of the ledger can't be read; the records before them are intact", report.Torn)
+				return fmt.Errorf("%d bytes at the end of the ledger can't be read; the records before them are intact",
+					report.Torn)
 			}
 			return nil
 		},
@@ -213,7 +218,8 @@
 				MayHaveRun  int       `json:"may_have_run"`
 				Ended       string    `json:"ended,omitempty"`
 				Bytes       int       `json:"bytes"`
-			}{uint32(notice.Number), notice.ID, notice.Grade, notice.Portfolio, int32(notice.Destination), notice.Until, notice.Trips, len(notice.Ran), notice.Ended, len(notice.Body)}); err != nil {
+			}{uint32(notice.Number), notice.ID, notice.Grade, notice.Portfolio, int32(notice.Destination), notice.Until,
+				notice.Trips, len(notice.Ran), notice.Ended, len(notice.Body)}); err != nil {
 				return err
 			}
 		}
@@ -222,8 +228,8 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ID\tGRADE\tDESTINATION\tTIME LEFT\tTRIPS\tMAY HAVE RUN\tENDED\tBYTES")
 	for _, notice := range report.Owed {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%d\t%s\t%d\n", notice.ID, notice.Grade, notice.Destination, notice.Until.Sub(now).Round(time.Millisecond),
-			notice.Trips, len(notice.Ran), notice.Ended, len(notice.Body))
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%d\t%s\t%d\n", notice.ID, notice.Grade, notice.Destination,
+			notice.Until.Sub(now).Round(time.Millisecond), notice.Trips, len(notice.Ran), notice.Ended, len(notice.Body))
 	}
 	return table.Flush()
 }
@@ -243,7 +249,8 @@
 					modified = " with uncommitted changes"
 				}
 			}
-			fmt.Fprintf(command.OutOrStdout(), "chuteweir %s, revision %s%s, %s\n", info.Main.Version, revision, modified, info.GoVersion)
+			fmt.Fprintf(command.OutOrStdout(), "chuteweir %s, revision %s%s, %s\n", info.Main.Version, revision, modified,
+				info.GoVersion)
 		},
 	}
 }
@@ -261,7 +268,8 @@
 			labPath := filepath.Join(filepath.Dir(executable), "chutelab")
 			if _, err := os.Stat(labPath); err != nil {
 				if labPath, err = exec.LookPath("chutelab"); err != nil {
-					return errors.New("chutelab is neither in the directory of this program nor in PATH; go build -o bin/ ./cmd/... builds both")
+					return errors.New(
+						"chutelab is neither in the directory of this program nor in PATH; go build -o bin/ ./cmd/... builds both")
 				}
 			}
 			return syscall.Exec(labPath, append([]string{"chutelab", name}, args...), os.Environ())
--- a/cmd/chuteweir/deadlines_test.go
+++ b/cmd/chuteweir/deadlines_test.go
@@ -12,21 +12,22 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// These tests hold what a sender takes for delivered against the time that its notices had.
+// These tests check that a notice counts as delivered only if its response came within its client timeout, and that
+// its final outcome is reported otherwise.
 
 const (
-	// holdUp is how long a sender may be held up between reading its clock and writing.
+	// senderPause is how long a sender may be paused between reading its clock and writing.
 	senderPause = 150 * time.Millisecond
-	// lostAfter is how long after its time a notice must have its end.
+	// maxReportDelay is how long after its client timeout the final outcome of a notice must be reported.
 	maxReportDelay = 300 * time.Millisecond
-	// crowdedStart is how many further notices make a start slow.
+	// extraNotices is how many more notices in the ledger make a start slow.
 	extraNotices = 16_000
-	// ledgerRoom is the room for a ledger with these, in bytes.
+	// ledgerCapacity is the capacity, in bytes, of a ledger with these.
 	ledgerCapacity = 256 << 20
 )
 
-// seedLedger writes a ledger as a killed sender leaves it: the notices given, each with its trips, and as many for a
-// destination that takes none as make the start slow.
+// seedLedger writes a ledger as a killed sender leaves it: the given notices with their trips, and extraNotices
+// more for destination 2, which accepts none.
 func (env *environment) seedLedger(notices ...ledger.Notice) {
 	env.t.Helper()
 	seeded, _, err := ledger.Open(env.stateDirectory, ledgerCapacity)
@@ -38,8 +39,8 @@
 		}
 	}
 	for i := range extraNotices {
-		write(ledger.Notice{Number: rules.NoticeID(i + 1), ID: fmt.Sprint("crowd-", i), Grade: "note", Portfolio: "acme", Destination: 2,
-			Until: time.Now().Add(time.Hour)})
+		write(ledger.Notice{Number: rules.NoticeID(i + 1), ID: fmt.Sprint("crowd-", i), Grade: "note", Portfolio: "acme",
+			Destination: 2, Until: time.Now().Add(time.Hour)})
 	}
 	for i, notice := range notices {
 		notice.Number = rules.NoticeID(extraNotices + i + 1)
@@ -48,7 +49,7 @@
 	env.must(seeded.Close())
 }
 
-// stand holds the sender up for a span.
+// pauseSender pauses the sender process for a duration.
 func (env *environment) pauseSender(duration time.Duration) {
 	env.t.Helper()
 	env.must(env.sender.Process.Signal(syscall.SIGSTOP))
@@ -56,7 +57,7 @@
 	env.must(env.sender.Process.Signal(syscall.SIGCONT))
 }
 
-// endsBy checks that the platform is told a notice's end by a time.
+// awaitReport waits for a notice's outcome report and fails the test if it has not come by the deadline.
 func (env *environment) awaitReport(id string, deadline time.Time) {
 	env.t.Helper()
 	for {
@@ -64,13 +65,14 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			env.t.Fatalf("%s has no end %v after its time\n%s\n%s", id, maxReportDelay, strings.Join(env.recorded(), "\n"), env.log)
+			env.t.Fatalf("want the outcome of %s reported within %v of its client timeout\n%s\n%s", id, maxReportDelay,
+				strings.Join(env.recorded(), "\n"), env.log)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// answersAt makes receivers answer 200 at a time.
+// respondOKAt makes receivers respond with 200 at a given time.
 func (env *environment) respondOKAt(at time.Time) {
 	env.respondWith(func(*standin.Asked) standin.Reply {
 		time.Sleep(time.Until(at))
@@ -78,6 +80,8 @@
 	})
 }
 
+// Guards against a slow start that shifts the client timeout of restored notices: a response after the true timeout
+// would count as a delivery, and no outcome would be reported.
 func TestRestoredNoticeKeepsItsTimeoutDuringSlowStart(t *testing.T) {
 	env := startEnvironment(t, `disk = "1MB"`, `disk = "256MB"`, `hold = 50`, `hold = 100000`)
 	env.killSender()
@@ -89,18 +93,21 @@
 	env.awaitReport("late", deadline.Add(maxReportDelay))
 }
 
+// Guards against a slow start after which a restored notice is sent again although the receiver no longer remembers
+// its idempotency key, so that it may take effect twice.
 func TestRestoredNoticeIsNotResentAfterItsKeyIsForgotten(t *testing.T) {
 	const (
 		keyRetention = 5 * time.Second
 		tolerance    = 50 * time.Millisecond
 	)
-	env := startEnvironment(t, `disk = "1MB"`, `disk = "256MB"`, `hold = 50`, `hold = 100000`, `repeat = "reissuable"`, "repeat = \"numbered\"\nremembers = \"5s\"")
+	env := startEnvironment(t, `disk = "1MB"`, `disk = "256MB"`, `hold = 50`, `hold = 100000`,
+		`repeat = "reissuable"`, "repeat = \"numbered\"\nremembers = \"5s\"")
 	env.killSender()
 	calledAt := map[string]time.Time{}
 	var notices []ledger.Notice
-	// The marks are forgotten one after the other while the next process starts.
+	// The receivers forget the keys one after the other while the next process starts.
 	for remaining := time.Duration(0); remaining < 3*time.Second; remaining += 25 * time.Millisecond {
-		id := fmt.Sprint("mark-", remaining)
+		id := fmt.Sprint("numbered-", remaining)
 		calledAt[id] = time.Now().Add(remaining - keyRetention)
 		notices = append(notices, ledger.Notice{ID: id, Grade: "note", Portfolio: "acme", Destination: 1,
 			Until: time.Now().Add(10 * time.Second), Ran: []ledger.Trip{{At: calledAt[id], Zone: "here"}}})
@@ -108,7 +115,7 @@
 	env.seedLedger(notices...)
 	env.respondWith(func(call *standin.Asked) standin.Reply {
 		if late := time.Since(calledAt[call.ID]) - keyRetention; late > tolerance {
-			t.Errorf("%s was sent again %v after its mark was forgotten", call.ID, late)
+			t.Errorf("%s was sent again %v after its key was forgotten", call.ID, late)
 		}
 		return standin.Reply{Status: 200}
 	})
@@ -116,7 +123,8 @@
 	time.Sleep(time.Second)
 }
 
-// handReadLate hands a notice in that the sender, held up, reads late. It returns the end of the notice's time.
+// submitReadLate submits a notice while the sender is paused, so that it is read late by the delay. It returns the
+// deadline by the client timeout, and makes receivers respond half the delay after that deadline.
 func (env *environment) submitReadLate(grade, id string, timeout, delay time.Duration) (deadline time.Time) {
 	env.t.Helper()
 	env.must(env.sender.Process.Signal(syscall.SIGSTOP))
@@ -128,6 +136,8 @@
 	return deadline
 }
 
+// Guards against counting the client timeout of a notice from when a paused sender read it: a response after the true
+// timeout would count as a delivery, and no outcome would be reported.
 func TestNoticeReadLateIsReportedWhenResponseMissesTimeout(t *testing.T) {
 	for _, grade := range []string{"note", "order"} {
 		for _, delay := range []time.Duration{senderPause, 2 * senderPause} {
@@ -141,17 +151,22 @@
 	}
 }
 
+// Guards against the same fault during a shutdown: a response after the true timeout must leave the outcome in the
+// ledger for the next process to report.
 func TestNoticeIsReportedWhenResponseMissesTimeoutDuringShutdown(t *testing.T) {
 	env := startEnvironment(t)
 	deadline := env.submitReadLate("order", "late", 4*time.Second, senderPause)
-	time.Sleep(time.Until(deadline.Add(-2800 * time.Millisecond))) // no trip is begun any more when the answer comes
+	time.Sleep(time.Until(deadline.Add(-2800 * time.Millisecond))) // when the response comes, no more trips are started
 	env.shutDown()
 	env.startSender()
 	env.awaitLines(1, `platform: {"message":"late","outcome":"given_up"`)
 }
 
+// Guards against taking a response for timely that arrived after the client timeout, when the sender was paused
+// over both and compares against a clock reading from before the pause.
 func TestNoticeIsReportedWhenPausedSenderReadsResponseLate(t *testing.T) {
-	const attempts = 4 // of each, as a held-up sender may find its timer due first
+	// A resumed sender may handle the timeout before the response, which would hide the fault: each grade is tried often.
+	const attempts = 4
 	for attempt := range 2 * attempts {
 		grade := []string{"note", "order"}[attempt%2]
 		t.Run(fmt.Sprint(grade, " ", attempt/2), func(t *testing.T) {
--- a/cmd/chuteweir/exchanges_test.go
+++ b/cmd/chuteweir/exchanges_test.go
@@ -17,31 +17,35 @@
 	"chuteweir.example/chuteweir/internal/directory"
 )
 
-// These tests hold a real sender against receivers whose bytes may be booked on another exchange than their own.
+// These tests run a sender process against receivers whose response bytes may be attributed to a call that they don't
+// belong to.
 
 // receivedCall is a call that a scripted receiver has read.
 type receivedCall struct {
 	id     string
 	conn   net.Conn
-	number int // of its connection, from 1 on
+	number int // of the call on its connection, from 1
 }
 
-// answer writes an answer without a body.
+// respond writes a response without a body.
 func (call receivedCall) respond(status int, headers string) {
 	io.WriteString(call.conn, responseText(status, headers))
 }
 
+// responseText returns the text of a response without a body.
 func responseText(status int, headers string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), headers)
 }
 
-// firstScripted is the number of the first destination that has a scripted receiver, and fewScripted how many have one as a rule.
+// firstScriptedDestination is the number of the first destination with a scripted receiver; usualDestinations is
+// how many have one in most tests.
 const (
 	firstScriptedDestination = 11
 	usualDestinations        = 8
 )
 
-// listenScripted gives each of some destinations a receiver with a script. A connection ends when the script returns false.
+// addScriptedReceivers adds a number of destinations, each with one receiver that calls the script for each call.
+// It closes the connection when the script returns false.
 func (env *environment) addScriptedReceivers(destinations int, script func(receivedCall) bool) {
 	for i := range destinations {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,12 +60,13 @@
 				go serveConnection(conn, script)
 			}
 		}()
-		env.platform.Change(directory.Member{ID: fmt.Sprint("scripted-", i), HostPort: listener.Addr().String(), Locality: "here",
-			Flavor: "shop", Cell: int64(firstScriptedDestination + i), Phase: "ready", Size: 20})
+		env.platform.Change(directory.Member{ID: fmt.Sprint("scripted-", i), HostPort: listener.Addr().String(),
+			Locality: "here", Flavor: "shop", Cell: int64(firstScriptedDestination + i), Phase: "ready", Size: 20})
 	}
-	time.Sleep(200 * time.Millisecond) // the sender is told
+	time.Sleep(200 * time.Millisecond) // until the sender has read the new receiver list
 }
 
+// serveConnection reads calls from one connection and runs the script for each.
 func serveConnection(conn net.Conn, script func(receivedCall) bool) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -79,28 +84,28 @@
 	}
 }
 
-// fates is what happened to the messages of a test.
+// messageResults holds what happened to each message of a test, by message id.
 type messageResults struct {
 	mu       sync.Mutex
 	messages map[string]*messageResult
 }
 
-// fate is what happened to one message.
+// messageResult is what happened to one message.
 type messageResult struct {
-	atMostOnce           bool // it must not run twice
+	atMostOnce           bool // it must not take effect twice
 	accepted             bool
-	delivered            bool // a 200 was written for it
+	delivered            bool // a receiver responded to it with 200
 	executions           int
 	calls, finalOutcomes int
 }
 
-// played is how long messages are handed in, and lasting their client timeout.
+// submissionTime is how long messages are submitted, and scriptedTimeout is their client timeout.
 const (
 	submissionTime  = 6 * time.Second
 	scriptedTimeout = 3 * time.Second
 )
 
-// received notes a call and whether it runs.
+// recordCall records a call and whether it takes effect.
 func (r *messageResults) recordCall(id string, executes bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,14 +116,15 @@
 	}
 }
 
+// recordDelivery records that a receiver responded with 200.
 func (r *messageResults) recordDelivery(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.messages[id].delivered = true
 }
 
-// handInMany hands messages in, so often in the mean, most of them for few of the destinations and two of five of a grade that must
-// not run twice, and waits until their time is over.
+// submitMany submits messages at random intervals of a given mean, and waits until the client timeout of all has
+// passed. Most messages are for a few of the destinations, and two of five have the at-most-once grade.
 func (env *environment) submitMany(results *messageResults, destinations int, meanInterval time.Duration) {
 	var submissions sync.WaitGroup
 	random := rand.New(rand.NewPCG(37, 37))
@@ -133,7 +139,8 @@
 		results.mu.Unlock()
 		destination := firstScriptedDestination + int(float64(destinations)*math.Pow(random.Float64(), 2))
 		submissions.Go(func() {
-			accepted := env.sendRaw(submission(grade, id, int(scriptedTimeout.Milliseconds()), destination, "body")) == "202 Accepted"
+			accepted := env.sendRaw(
+				submission(grade, id, int(scriptedTimeout.Milliseconds()), destination, "body")) == "202 Accepted"
 			results.mu.Lock()
 			results.messages[id].accepted = accepted
 			results.mu.Unlock()
@@ -144,7 +151,8 @@
 	time.Sleep(scriptedTimeout + 400*time.Millisecond)
 }
 
-// checkFates checks that each message taken on was delivered or ended, and that none ran twice that must not.
+// checkResults checks that each accepted message was delivered or its final outcome reported, and that no
+// at-most-once message took effect twice.
 func (env *environment) checkResults(results *messageResults) {
 	env.t.Helper()
 	results.mu.Lock()
@@ -175,28 +183,29 @@
 			lost++
 		}
 	}
-	env.t.Logf("%d messages, %d taken on, %d delivered, %d lost, %d run twice", len(results.messages), accepted, delivered, lost, twice)
+	env.t.Logf("%d messages, %d accepted, %d delivered, %d lost, %d run twice",
+		len(results.messages), accepted, delivered, lost, twice)
 	if lost+twice > 0 {
 		env.t.Errorf("%d messages lost, %d run twice", lost, twice)
 	}
 	if delivered < 100 {
-		env.t.Errorf("%d messages delivered tell nothing", delivered)
+		env.t.Errorf("%d messages delivered; want at least 100 for a meaningful test", delivered)
 	}
 }
 
-// copyPlan is how a receiver writes one good answer in ten a second time.
+// duplicatePlan is how a receiver writes one successful response in ten a second time.
 type duplicatePlan struct {
 	slots          string
-	responseDelay  time.Duration // a call
-	duplicateDelay time.Duration // the copy, behind the answer
-	nextStatus     int           // of a call that comes on a connection behind such an answer, copyAnswer later
-	pausesSender   bool          // the sender is held up again and again
+	responseDelay  time.Duration // of a response to its call
+	duplicateDelay time.Duration // of the duplicate after the response
+	nextStatus     int           // of the response to the next call on that connection, which takes nextResponseDelay
+	pausesSender   bool          // the sender process is paused repeatedly
 }
 
-// copiedCallTakes is how long the answer to a call takes that comes behind an answer with a copy.
+// nextResponseDelay is the delay of the response to the call that follows a duplicated response.
 const nextResponseDelay = 80 * time.Millisecond
 
-// copyingReceiver plays a plan.
+// duplicatingReceiver returns a script that follows a plan.
 func duplicatingReceiver(results *messageResults, plan duplicatePlan) func(receivedCall) bool {
 	var mu sync.Mutex
 	duplicated := map[net.Conn]bool{}
@@ -223,7 +232,7 @@
 	}
 }
 
-// holdUp stops the sender for up to 140 ms, again and again, until the returned function is called.
+// pauseRepeatedly pauses the sender process for up to 140 ms, again and again, until stop is called.
 func (env *environment) pauseRepeatedly() (stop func()) {
 	done := make(chan struct{})
 	var stopped sync.WaitGroup
@@ -242,6 +251,8 @@
 	return func() { close(done); stopped.Wait() }
 }
 
+// Guards against taking the duplicate of a response for the response to the next call on the connection: that call's
+// message would count as delivered although its receiver refused it.
 func TestDuplicateResponseIsNotAttributedToNextCall(t *testing.T) {
 	const ms = time.Millisecond
 	plans := map[string]duplicatePlan{
@@ -272,16 +283,18 @@
 	}
 }
 
-// latePlan is how receivers write, once on each connection, what may be booked on a call that comes late on it.
+// unsolicitedPlan is how receivers write, once on each connection, an unsolicited response while its second call is
+// in flight.
 type unsolicitedPlan struct {
-	firstStatus       int           // the answer to the calls before
-	unsolicitedStatus int           // what is written while the late call is out; 0: nothing
-	truncated         bool          // half of it only
-	secondStatus      int           // the answer to the late call
-	secondDelay       time.Duration // that call
+	firstStatus       int           // of the response to each receiver's first call
+	unsolicitedStatus int           // of the unsolicited response, written while the second call is in flight
+	truncated         bool          // only half of the unsolicited response is written
+	secondStatus      int           // of the response to the second call
+	secondDelay       time.Duration // of the response to the second call, after the unsolicited one
 }
 
-// lateReceiver plays a plan: what it writes unasked comes after a receiver has the next call, however late that is.
+// unsolicitedReceiver returns a script that follows a plan. It writes the unsolicited response only after it has
+// received the second call on the connection, however late that comes.
 func unsolicitedReceiver(results *messageResults, plan unsolicitedPlan) func(receivedCall) bool {
 	var mu sync.Mutex
 	called := map[string]bool{}
@@ -318,6 +331,8 @@
 	}
 }
 
+// Guards against trusting a response that may belong to an earlier call: if an unsolicited response arrives while a
+// call is in flight, the outcome of that call is ambiguous.
 func TestUnsolicitedResponseMakesNextCallAmbiguous(t *testing.T) {
 	const ms, destinations = time.Millisecond, 60
 	plans := map[string]unsolicitedPlan{
@@ -340,11 +355,14 @@
 	}
 }
 
+// Guards against a killed sender that has written off a notice as delivered by a response that could still turn out
+// to be the duplicate of an earlier one: after the restart its outcome is ambiguous, and it is reported as given
+// up.
 func TestUnconfirmedResponseIsAmbiguousAfterKill(t *testing.T) {
 	env := startEnvironment(t)
 	answered := make(chan bool, 1)
 	env.addScriptedReceivers(1, func(call receivedCall) bool {
-		call.respond(200, "") // of the second call this is a copy of the first one's
+		call.respond(200, "") // for the second call, this stands for a duplicate of the first response
 		if call.number == 2 {
 			answered <- true
 			time.Sleep(time.Second)
@@ -361,6 +379,8 @@
 	env.awaitLines(1, `platform: {"message":"second","outcome":"given_up"}`)
 }
 
+// Guards against losing the final outcome of a notice whose client timeout ends while the refusal by its receiver
+// is not confirmed yet, when the sender is then killed.
 func TestOutcomeAfterUnconfirmedRefusalSurvivesKill(t *testing.T) {
 	const destinations = 8
 	env := startEnvironment(t)
@@ -391,10 +411,11 @@
 	}
 }
 
-// keepsOrder makes notes go one at a time by their keys.
+// inOrderReissuable replaces the repeat policy of the grade note: notices of one key are then called one at a time.
 const inOrderReissuable = "repeat = \"reissuable\"\nin_order = true"
 
-// callTwoOfAKey hands two notes of a key in behind one without, and waits until the second is called.
+// submitTwoOfAKey submits a note without a key and then two with the same key, and waits until the second of them
+// is called.
 func (env *environment) submitTwoOfAKey(respond func(receivedCall)) {
 	env.t.Helper()
 	env.addScriptedReceivers(1, func(call receivedCall) bool {
@@ -410,6 +431,8 @@
 	env.awaitLines(1, "called: second")
 }
 
+// Guards against a restarted sender that repeats the first notice of a key after the second was called, because the
+// response to the first was not confirmed when the sender was killed.
 func TestKeyOrderSurvivesKillWithUnconfirmedResponse(t *testing.T) {
 	env := startEnvironment(t, `repeat = "reissuable"`, inOrderReissuable)
 	env.submitTwoOfAKey(func(call receivedCall) { call.respond(200, "") })
@@ -418,29 +441,31 @@
 	time.Sleep(time.Second)
 	trace := strings.Join(env.recorded(), "\n")
 	if strings.LastIndex(trace, "called: first") > strings.Index(trace, "called: second") {
-		t.Errorf("the first was called behind the second:\n%s", trace)
+		t.Errorf("the first notice was called again after the second:\n%s", trace)
 	}
 }
 
+// Guards against calling the second notice of a key when a duplicate of an earlier response arrives in place of the
+// response to the first.
 func TestDuplicateResponseDoesNotReleaseNextNoticeOfKey(t *testing.T) {
 	env := startEnvironment(t, `repeat = "reissuable"`, inOrderReissuable)
 	env.submitTwoOfAKey(func(call receivedCall) {
-		call.respond(200, "") // of the first notice this is a copy of an earlier answer
+		call.respond(200, "") // for the first notice, this stands for a duplicate of an earlier response
 		if call.id == "first" {
 			time.Sleep(40 * time.Millisecond)
-			env.record("called: over")
+			env.record("answered: first")
 			call.respond(503, "")
 		}
 	})
-	env.awaitLines(1, "called: over")
+	env.awaitLines(1, "answered: first")
 	trace := strings.Join(env.recorded(), "\n")
-	if strings.Index(trace, "called: second") < strings.Index(trace, "called: over") {
-		t.Errorf("the second was called before the first was over:\n%s", trace)
+	if strings.Index(trace, "called: second") < strings.Index(trace, "answered: first") {
+		t.Errorf("the second notice was called before the response to the first:\n%s", trace)
 	}
 	env.awaitLines(1, `platform: {"message":"first","outcome":"given_up"}`)
 }
 
-// awaitText waits until the trace holds a text.
+// awaitText waits until the trace contains a text.
 func (env *environment) awaitText(text string) {
 	env.t.Helper()
 	for range 200 {
@@ -449,5 +474,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	env.t.Fatalf("no %s in\n%s\n%s", text, strings.Join(env.recorded(), "\n"), env.log)
+	env.t.Fatalf("want %s in\n%s\n%s", text, strings.Join(env.recorded(), "\n"), env.log)
 }
--- a/cmd/chuteweir/main.go
+++ b/cmd/chuteweir/main.go
@@ -14,7 +14,8 @@
 	if len(os.Args) == 1 {
 		path, state := os.Getenv("PROXY_CONFIG"), os.Getenv("PROXY_STATE")
 		if path == "" || state == "" {
-			return cli.Misused("PROXY_CONFIG must name the configuration file and PROXY_STATE the state directory; see also chuteweir help")
+			return cli.Misused(
+				"PROXY_CONFIG must name the configuration file and PROXY_STATE the state directory; see also chuteweir help")
 		}
 		return serve(path, state, "", "")
 	}
--- a/cmd/chuteweir/main_test.go
+++ b/cmd/chuteweir/main_test.go
@@ -18,8 +18,10 @@
 	"chuteweir.example/chuteweir/internal/standin"
 )
 
-// These tests build the program, start it and speak to it over sockets, with stand-ins for platform and receivers.
+// These tests build the program, start it and communicate with it over sockets, with a simulated platform and
+// simulated receivers around it.
 
+// program is the path of the program under test, which TestMain builds.
 var program string
 
 func TestMain(m *testing.M) {
@@ -40,6 +42,8 @@
 	os.Exit(code)
 }
 
+// Guards against notices that are not delivered although trips fail, in the ways a trip may fail, before one
+// succeeds.
 func TestServes(t *testing.T) {
 	env := startEnvironment(t)
 	env.submit("note", "n-1", 12000, 1)
@@ -50,9 +54,9 @@
 		switch calls {
 		case 1:
 			return standin.Reply{Status: 500}
-		case 2: // the connection ends after the call: it may have run
+		case 2: // the connection is reset after the call, which may have taken effect
 			return standin.Reply{Reset: true}
-		case 3: // an answer to the close, with a report
+		case 3: // a response that extends to the close of the connection, with a load report
 			return standin.Reply{Raw: "HTTP/1.1 200 OK\r\nServer-Load: x0=0.5,x1=25\r\n\r\nfine", Close: true}
 		}
 		return standin.Reply{Raw: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"}
@@ -76,7 +80,8 @@
 	env.shutDown()
 }
 
-// What a receiver may answer, one after the other to the same notice, and what each counts as.
+// Checks how each kind of response is counted. The receiver gives them one after the other to the trips of one
+// notice.
 func TestOutcomes(t *testing.T) {
 	env := startEnvironment(t, `trips = 4`, `trips = 12`)
 	responses := []string{
@@ -100,7 +105,7 @@
 	env.shutDown()
 }
 
-// Whatever bad clients send, they get an error or a close in time, and nothing of theirs is taken on.
+// Guards against accepting malformed requests, and against clients that get neither an error nor a close within 3 s.
 func TestRejectsMalformedRequests(t *testing.T) {
 	env := startEnvironment(t)
 	valid := func(headers string) string { return submission("note", "a", 12000, 1, "", headers) }
@@ -126,20 +131,22 @@
 		"8 silent":          "",
 		"9 other method":    "PUT /note HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
 		"a up":              "GET /up HTTP/1.1\r\n\r\n",
-		"b two on end, one": "GET /up HTTP/1.1\r\n\r\nGET /up HTTP/1.1\r\n\r\n",
-		"c waits to go on":  "POST /note HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n",
+		"b two pipelined":   "GET /up HTTP/1.1\r\n\r\nGET /up HTTP/1.1\r\n\r\n",
+		"c expects 100":     "POST /note HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n",
 	} {
 		started := time.Now()
 		env.record("%s: %s", name, env.sendRaw(request))
 		if time.Since(started) > 3*time.Second {
-			t.Errorf("%s: after %v", name, time.Since(started))
+			t.Errorf("%s: answered or closed only after %v", name, time.Since(started))
 		}
 	}
-	env.respondWith(func(*standin.Asked) standin.Reply { return standin.Reply{Status: 200, After: 300 * time.Millisecond} })
+	env.respondWith(func(*standin.Asked) standin.Reply {
+		return standin.Reply{Status: 200, After: 300 * time.Millisecond}
+	})
 	env.record("d first: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
-	env.record("d its id again: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
+	env.record("d same id again: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
 	time.Sleep(500 * time.Millisecond)
-	env.record("d its id later: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
+	env.record("d same id later: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
 	env.locked(func() { slices.Sort(env.trace) })
 	env.checkTrace(`
 1 unknown grade: 404 Not Found, closing
@@ -163,25 +170,27 @@
 8 silent: no answer
 9 other method: 405 Method Not Allowed, closing
 a up: 200 OK
-b two on end, one: 200 OK
-c waits to go on: 100 Continue
+b two pipelined: 200 OK
+c expects 100: 100 Continue
 d first: 202 Accepted
-d its id again: 409 Conflict
-d its id later: 409 Conflict
+d same id again: 409 Conflict
+d same id later: 409 Conflict
 receiver: POST /events same ""
 `)
 	env.shutDown()
 }
 
+// Guards against a killed sender that loses accepted notices, or that after its restart repeats an at-most-once
+// notice whose call may have taken effect.
 func TestRestoresNoticesAfterKill(t *testing.T) {
 	env := startEnvironment(t)
 	env.respondWith(func(call *standin.Asked) standin.Reply {
-		if call.ID == "o-1" { // turned away: it has not run
+		if call.ID == "o-1" { // rejected, so it has had no effect
 			return standin.Reply{Status: 429, Fields: []string{"Retry-After: 7.5"}}
 		}
 		return standin.Reply{Never: true}
 	})
-	env.submit("note", "n-1", 12000, 1, "Idempotency-Key: mark\r\n")
+	env.submit("note", "n-1", 12000, 1, "Idempotency-Key: key\r\n")
 	env.awaitLines(1, "receiver")
 	env.submit("order", "o-2", 12000, 1)
 	env.awaitLines(2, "receiver")
@@ -193,7 +202,7 @@
 client: n-1 202 Accepted
 client: o-2 202 Accepted
 client: o-1 202 Accepted
-receiver: POST /events n-1 "body"mark
+receiver: POST /events n-1 "body"key
 receiver: POST /events o-2 "body"
 receiver: POST /events o-1 "body"
 `)
@@ -206,19 +215,22 @@
 	env.locked(func() { slices.Sort(env.trace) })
 	env.checkTrace(`
 platform: {"message":"o-2","outcome":"given_up"}
-receiver: POST /events n-1 "body"mark
+receiver: POST /events n-1 "body"key
 receiver: POST /events o-1 "body"
 `)
 	env.startSender()
 	if !strings.Contains(env.log.String(), "restored=0") {
-		t.Errorf("what was over came back: %s", env.log)
+		t.Errorf("want no notices restored after all were finished: %s", env.log)
 	}
 	env.shutDown()
 }
 
+// Guards against a shutdown that cuts off a call in flight, and against a sender that accepts notices during it.
 func TestFinishesCallsBeforeShutdown(t *testing.T) {
 	env := startEnvironment(t)
-	env.respondWith(func(*standin.Asked) standin.Reply { return standin.Reply{Status: 200, After: 700 * time.Millisecond} })
+	env.respondWith(func(*standin.Asked) standin.Reply {
+		return standin.Reply{Status: 200, After: 700 * time.Millisecond}
+	})
 	env.submit("order", "o-1", 12000, 1)
 	env.awaitLines(1, "receiver")
 	env.must(env.sender.Process.Signal(syscall.SIGTERM))
@@ -234,11 +246,12 @@
 `)
 	env.startSender()
 	if !strings.Contains(env.log.String(), "restored=0") {
-		t.Errorf("the call that was out did not finish: %s", env.log)
+		t.Errorf("want no notices restored, as the call in flight had time to finish: %s", env.log)
 	}
 }
 
-// An end that the platform has not taken is handed in until it is, by the next process too.
+// Guards against losing a final outcome that the platform has not accepted: it is reported until it is accepted,
+// also by the next process.
 func TestOutcomeReportsAreKept(t *testing.T) {
 	env := startEnvironment(t)
 	env.locked(func() { env.acceptsReports = false })
@@ -253,7 +266,7 @@
 	env.shutDown()
 }
 
-// One end that the platform can't read does not keep the others from it.
+// Guards against one outcome report that the platform responds to with 400 blocking the others.
 func TestRejectedOutcomeReportDoesNotBlockOthers(t *testing.T) {
 	env := startEnvironment(t)
 	env.locked(func() { env.acceptsReports = false })
@@ -276,11 +289,13 @@
 {"message":"n-4","outcome":"handed_back"}
 `)
 	if !strings.Contains(env.log.String(), `end of \"n-2\", which is given up`) {
-		t.Errorf("not told: %s", env.log)
+		t.Errorf("the log does not name the outcome that was given up: %s", env.log)
 	}
 	env.shutDown()
 }
 
+// Guards against losing the known receivers when a malformed receiver list arrives, and checks that a later valid
+// list is followed.
 func TestFollowsTheReceiverList(t *testing.T) {
 	env := startEnvironment(t)
 	env.locked(func() { env.listReplacement = `{"revision":2,"members":[{"id":"s-1-1","phase":` })
@@ -310,14 +325,16 @@
 	env.shutDown()
 }
 
-// What can't be served in time is refused with the time to come back; what the receiver says is over, is over.
+// Checks that a notice that can't be delivered in time is refused with a Retry-After header, and that a notice whose
+// receiver responds with 410 is not tried again.
 func TestRefusesWhatCannotBeDeliveredInTime(t *testing.T) {
 	env := startEnvironment(t)
 	env.respondWith(func(call *standin.Asked) standin.Reply {
 		if call.ID == "o-1" {
 			return standin.Reply{Status: 410}
 		}
-		// The connection breaks within the body: it may have run, and the wait that the head told still holds.
+		// The connection ends within the body: the call may have taken effect, and the wait requested in the head
+		// applies.
 		return standin.Reply{Raw: "HTTP/1.1 429 Wait\r\nRetry-After: 7.5\r\nContent-Length: 100\r\n\r\ncut", Close: true}
 	})
 	env.submit("order", "o-1", 12000, 1)
@@ -336,17 +353,18 @@
 	env.killSender()
 	env.startSender()
 	if !strings.Contains(env.log.String(), "restored=1") {
-		t.Errorf("not just n-1 came back: %s", env.log)
+		t.Errorf("want only n-1 restored: %s", env.log)
 	}
 }
 
-// A ledger that is nearly full of what waits gives back what promises least; what does not fit is turned away; and all that
-// was taken on is either told its end or still owed.
+// Checks that a sender whose ledger is nearly full of waiting notices hands back those with the least expected
+// credit and refuses new ones that don't fit, and that each accepted notice is either reported to the platform or
+// still pending.
 func TestFullLedger(t *testing.T) {
 	env := startEnvironment(t)
 	body := strings.Repeat("b", 64<<10)
 	accepted := 0
-	for i := range 9 { // held, as the receiver of destination 2 drains
+	for i := range 9 { // held, because the only receiver of destination 2 is draining
 		id := fmt.Sprint("n-", i)
 		switch answer := env.sendRaw(submission("note", id, 12000, 2, body)); answer {
 		case "202 Accepted":
@@ -358,7 +376,7 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	handedBack := map[string]bool{}
-	collectReports := func() { // ends that the platform has taken; one request may tell several
+	collectReports := func() { // from the outcome reports that the platform has accepted, each of which may hold several
 		for _, recorded := range env.recorded() {
 			if reports, ok := strings.CutPrefix(recorded, "platform: "); ok {
 				for line := range strings.Lines(reports) {
@@ -372,7 +390,8 @@
 	}
 	collectReports()
 	if accepted < 5 || len(handedBack) == 0 || accepted-len(handedBack) < 2 {
-		t.Errorf("%d taken on, %d handed back", accepted, len(handedBack))
+		t.Errorf("%d accepted, %d handed back; want at least 5 accepted, 1 handed back and 2 pending",
+			accepted, len(handedBack))
 	}
 	env.killSender()
 	env.startSender()
@@ -381,13 +400,14 @@
 	fmt.Sscan(rest, &restored)
 	time.Sleep(200 * time.Millisecond)
 	before := len(handedBack)
-	collectReports() // also by the second process
+	collectReports() // those reported by the second process are added
 	if restored < accepted-len(handedBack) || restored > accepted-before {
-		t.Errorf("%d taken on, %d and then %d handed back, %d restored: %s", accepted, before, len(handedBack), restored, env.log)
+		t.Errorf("%d accepted, %d and then %d handed back, %d restored: %s",
+			accepted, before, len(handedBack), restored, env.log)
 	}
 }
 
-// A connection is used again while the receiver is sure to keep it, and no longer.
+// Checks that an idle connection is reused only for as long as the receiver is certain to keep it open.
 func TestIdleConnections(t *testing.T) {
 	env := startEnvironment(t, `idle_kept = "10s"`, `idle_kept = "400ms"`)
 	var remotes []string
@@ -404,10 +424,11 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	if remotes[0] != remotes[1] || remotes[1] == remotes[2] {
-		t.Errorf("calls came from %v", remotes)
+		t.Errorf("calls came from %v; want the first two on one connection and the third on another", remotes)
 	}
 }
 
+// Checks that a sender with an unusable configuration exits with an error of one line.
 func TestRefusesToStart(t *testing.T) {
 	for _, text := range []string{``, `{`, `{"listen":"127.0.0.1:1"}`,
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":[]}`,
@@ -428,7 +449,8 @@
 	}
 }
 
-// A new configuration moves the watch and the ends that are owed to its discovery; one that can't be read does not.
+// Checks that after a reload the receiver list and the pending outcome reports go by the new discovery address, and
+// that a configuration that can't be read changes nothing.
 func TestReloads(t *testing.T) {
 	env := startEnvironment(t)
 	env.locked(func() { env.acceptsReports = false })
@@ -439,14 +461,14 @@
 		}
 		return standin.Reply{Status: 200}
 	})
-	env.submit("note", "n-0", 12000, 1) // its call is out all the while
+	env.submit("note", "n-0", 12000, 1) // its call stays in flight during both reloads
 	env.awaitLines(1, "receiver")
 	env.submit("note", "n-1", 200, 2)
 	env.awaitLines(1, "platform")
 	env.must(os.WriteFile(env.configPath, []byte(`{"listen": "`), 0o600))
 	env.must(env.sender.Process.Signal(syscall.SIGHUP))
 	time.Sleep(100 * time.Millisecond)
-	env.platform = env.newPlatform("moved") // its list is counted anew
+	env.platform = env.newPlatform("moved") // the revisions of its list start again at 1
 	env.replaceReceiver(env.platform)
 	env.writeConfig()
 	env.must(env.sender.Process.Signal(syscall.SIGHUP))
@@ -469,7 +491,8 @@
 	env.shutDown()
 }
 
-// Clients that open connections by the hundred and say nothing, or never come to an end, must not shut out others.
+// Guards against clients that open hundreds of connections and send nothing or half a request, and so block other
+// clients.
 func TestSilentClients(t *testing.T) {
 	env := startEnvironment(t, `sockets = 1024`, `sockets = 100`)
 	for i := range 300 {
@@ -483,7 +506,7 @@
 			started := time.Now()
 			env.submit("note", fmt.Sprint("n-", i), 12000, 1)
 			if time.Since(started) > 400*time.Millisecond {
-				t.Errorf("answered after %v", time.Since(started))
+				t.Errorf("answered only after %v", time.Since(started))
 			}
 		}
 	}
@@ -499,7 +522,8 @@
 	env.shutDown()
 }
 
-// Clients that each leave off within a large request must not use up the memory: the oldest are closed.
+// Guards against running out of memory by clients that each stop within a large request: the oldest connections are
+// closed.
 func TestUnfinishedRequests(t *testing.T) {
 	env := startEnvironment(t, `memory = "192MiB"`, `memory = "16MiB"`)
 	incomplete := strings.TrimSuffix(submission("note", "half", 12000, 1, strings.Repeat("b", 60<<10)), "b")
@@ -520,16 +544,16 @@
 	env.must(err)
 	text, _ := io.ReadAll(response.Body)
 	if !strings.Contains(string(text), "closed_crowded 44") {
-		t.Errorf("not 44 of 60 with 64 KiB each closed to stay under 1 MiB:\n%s", text)
+		t.Errorf("want 44 of 60 connections with 64 KiB each closed to stay below 1 MiB:\n%s", text)
 	}
 }
 
-// Notices of one key go one at a time, in the order in which they came.
+// Checks that the notices of one key are called one at a time, in the order in which they were accepted.
 func TestKeepsOrder(t *testing.T) {
 	env := startEnvironment(t, `repeat = "reissuable"`, "repeat = \"reissuable\"\nin_order = true")
 	env.respondWith(func(call *standin.Asked) standin.Reply {
 		time.Sleep(100 * time.Millisecond)
-		env.record("receiver: %s is through", call.ID)
+		env.record("receiver: %s is done", call.ID)
 		return standin.Reply{Status: 200}
 	})
 	for _, id := range []string{"n-1", "n-2"} {
@@ -541,14 +565,14 @@
 client: n-1 202 Accepted
 client: n-2 202 Accepted
 receiver: POST /events n-1 "body"
-receiver: n-1 is through
+receiver: n-1 is done
 receiver: POST /events n-2 "body"
-receiver: n-2 is through
+receiver: n-2 is done
 `)
 }
 
-// Whatever a sender had on its hands when it was killed or told to leave, each notice taken on is delivered or
-// ends, and what must not run twice does not.
+// Checks that over repeated kills and shutdowns at any point of the work each accepted notice is delivered or its
+// final outcome reported, and that no at-most-once notice takes effect twice.
 func TestManyRestarts(t *testing.T) {
 	env := startEnvironment(t, `slots = 8`, `slots = 20`)
 	random := rand.New(rand.NewPCG(7, 7))
@@ -611,15 +635,15 @@
 	trace := strings.Join(env.trace, "\n")
 	for id := range accepted {
 		if !delivered[id] && !strings.Contains(trace, `"`+id+`"`) {
-			t.Errorf("%s has no end", id)
+			t.Errorf("%s was accepted, but neither delivered nor reported", id)
 		}
 	}
 	for id, times := range executions {
 		if strings.HasPrefix(id, "order") && times > 1 {
-			t.Errorf("%s ran %d times", id, times)
+			t.Errorf("%s is at-most-once and took effect %d times", id, times)
 		}
 	}
 	if len(accepted) < 100 || len(delivered) < 50 {
-		t.Errorf("%d taken, %d delivered, too few to tell", len(accepted), len(delivered))
+		t.Errorf("%d accepted, %d delivered; want at least 100 and 50 for a meaningful test", len(accepted), len(delivered))
 	}
 }
--- a/cmd/chuteweir/waits_test.go
+++ b/cmd/chuteweir/waits_test.go
@@ -9,8 +9,8 @@
 	"chuteweir.example/chuteweir/internal/standin"
 )
 
-// These tests check that a sender process makes no calls to a destination during a wait that the destination requested
-// by Retry-After.
+// These tests check that a sender process makes no calls to a destination during a wait that the destination
+// requested by Retry-After.
 
 // waitChecker responds to calls and records those that arrive during a requested wait.
 type waitChecker struct {
@@ -21,7 +21,8 @@
 	callsInWait []string
 }
 
-// inFlightTolerance is how long after the request for a wait calls may arrive that were sent before the sender read it.
+// inFlightTolerance is how long after the request for a wait calls may arrive that were sent before the sender read
+// it.
 const inFlightTolerance = 100 * time.Millisecond
 
 // newWaitChecker returns a checker for the calls that an environment's receivers get.
@@ -60,8 +61,8 @@
 	}
 }
 
-// Guards against a call being sent because its connection is established, although the destination has requested a wait
-// while the connection was being opened.
+// Guards against a call being sent because its connection is established, although the destination has requested a
+// wait while the connection was being opened.
 func TestCallIsNotSentOnConnectionOpenedDuringRequestedWait(t *testing.T) {
 	checker := newWaitChecker(startEnvironment(t, `connect_time = "500ms"`, `connect_time = "3s"`))
 	checker.respondWith(func(call *standin.Asked) standin.Reply {
@@ -87,8 +88,8 @@
 	checker.checkWaits()
 }
 
-// checkWaitIsFollowed checks that nothing is sent during a wait of 2 s that a receiver requests when it responds to the
-// first call.
+// checkWaitIsFollowed checks that nothing is sent during a wait of 2 s that a receiver requests when it responds to
+// the first call.
 func checkWaitIsFollowed(t *testing.T, respondFirst func(*waitChecker, *standin.Asked) standin.Reply, replacements ...string) {
 	checker := newWaitChecker(startEnvironment(t, replacements...))
 	checker.respondWith(func(call *standin.Asked) standin.Reply {
@@ -124,8 +125,8 @@
 	}
 }
 
-// Guards against ignoring the Retry-After header of a response that arrives when the sender has just ended its call for
-// taking too long.
+// Guards against ignoring the Retry-After header of a response that arrives when the sender has just ended its call
+// for taking too long.
 func TestWaitOfResponseAfterTimeoutIsFollowed(t *testing.T) {
 	checkWaitIsFollowed(t, func(checker *waitChecker, call *standin.Asked) standin.Reply {
 		<-call.Gone
--- a/cmd/chuteweir/world_test.go
+++ b/cmd/chuteweir/world_test.go
@@ -176,8 +176,8 @@
 
 // member returns the entry of a receiver in the receiver list.
 func (env *environment) member(id string, destination int, phase string) directory.Member {
-	return directory.Member{ID: id, HostPort: env.gateways.Address(id), Locality: "here", Flavor: "shop", Cell: int64(destination),
-		Phase: phase, Size: 20}
+	return directory.Member{ID: id, HostPort: env.gateways.Address(id), Locality: "here", Flavor: "shop",
+		Cell: int64(destination), Phase: phase, Size: 20}
 }
 
 // replaceReceiver removes the first receiver of destination 1 from a platform's receiver list and adds another one.
@@ -333,7 +333,8 @@
 		text, _ := io.ReadAll(response.Body)
 		env.t.Logf("counters: %s", text)
 	}
-	env.t.Fatalf("%d of %d lines begin with %q in\n%s\n%s", seen, count, prefix, strings.Join(env.recorded(), "\n"), env.log)
+	env.t.Fatalf("%d of %d lines begin with %q in\n%s\n%s", seen, count, prefix,
+		strings.Join(env.recorded(), "\n"), env.log)
 }
 
 // checkTrace compares the trace with the one expected. It sorts the lines by the text before the colon, as lines from
