--- a/cmd/chuteweir/bursts_test.go
+++ b/cmd/chuteweir/bursts_test.go
@@ -42,7 +42,8 @@
 // submissions returns valid requests with different ids and with bodies of a size.
 func submissions(name string, count, size int) (requests []string) {
 	for i := range count {
-		requests = append(requests, submission("note", fmt.Sprintf("%s-%d", name, i), 12000, 1, strings.Repeat("x", size)))
+		requests = append(requests, submission("note", fmt.Sprintf("%s-%d", name, i), 12000, 1,
+			strings.Repeat("x", size)))
 	}
 	return requests
 }
@@ -84,7 +85,7 @@
 	requests[4] = submission("x", "first-4", 12000, 1, "") // an unknown grade
 	statuses, _ := env.burst(requests, doNothing)
 	if got := fmt.Sprint(statuses); got != "[202 409 202 200 404 202]" {
-		t.Errorf("answers %s", got)
+		t.Errorf("answers are %s; want [202 409 202 200 404 202]", got)
 	}
 	env.shutDown()
 }
--- a/cmd/chuteweir/clock_test.go
+++ b/cmd/chuteweir/clock_test.go
@@ -61,7 +61,8 @@
 // Guards against wall-clock steps of less than a second shifting the client timeout of a held notice.
 func TestHeldNoticeKeepsItsTimeoutAfterSubsecondWallClockStep(t *testing.T) {
 	const timeout = 4 * time.Second
-	for name, step := range map[string]time.Duration{"forward": 900 * time.Millisecond, "back": -900 * time.Millisecond} {
+	for name, step := range map[string]time.Duration{
+		"forward": 900 * time.Millisecond, "back": -900 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			env := startEnvironment(t)
--- a/cmd/chuteweir/commands.go
+++ b/cmd/chuteweir/commands.go
@@ -25,8 +25,8 @@
 	root := cli.Prepare(&cobra.Command{
 		Use:   "chuteweir",
 		Short: "Deliver notices to many destinations, some of which may be failing",
-		Long: `chuteweir accepts notices from clients over HTTP/1.1, keeps each until its client timeout, and delivers it
-to its destination by a call to one of the destination's receivers.
+		Long: `chuteweir accepts notices from clients over HTTP/1.1, keeps each until its client timeout, and delivers
+it to its destination by a call to one of the destination's receivers.
 
 Without arguments it runs a sender with the configuration file PROXY_CONFIG and the state directory PROXY_STATE.
 Exit status: 0 success, 1 failure, 2 wrong usage.`,
@@ -53,8 +53,8 @@
 	var state, format, level string
 	command := &cobra.Command{
 		Use: "serve FILE", Short: "Run a sender with a configuration file", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `serve runs a sender with a configuration in TOML (docs/configuration.md) or in the platform's JSON. SIGTERM
-shuts it down, SIGHUP makes it reload the file, and SIGUSR1 makes it print its counters.`,
+		Long: `serve runs a sender with a configuration in TOML (docs/configuration.md) or in the platform's JSON.
+SIGTERM shuts it down, SIGHUP makes it reload the file, and SIGUSR1 makes it print its counters.`,
 		Example: `  chuteweir serve sender.toml
   chuteweir serve --log-format json --log-level debug sender.toml`,
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -80,7 +80,8 @@
 	group := &cobra.Command{Use: "config", Short: "Check, print or convert a configuration",
 		Args: cli.Args(cobra.NoArgs), RunE: cli.Help}
 	checkCommand := &cobra.Command{
-		Use: "check FILE...", Short: "List all errors and warnings in configuration files", Args: cli.Args(cobra.MinimumNArgs(1)),
+		Use: "check FILE...", Short: "List all errors and warnings in configuration files",
+		Args:    cli.Args(cobra.MinimumNArgs(1)),
 		Example: "  chuteweir config check sender.toml",
 		RunE: func(command *cobra.Command, args []string) error {
 			faulty := 0
@@ -117,9 +118,10 @@
 		},
 	}
 	convertCommand := &cobra.Command{
-		Use: "convert FILE", Short: "Convert TOML into the platform's JSON, and JSON into TOML", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `convert writes the other format to standard output. JSON cannot hold the state directory and the log settings;
-TOML holds only those of the platform's settings that a sender reads.`,
+		Use: "convert FILE", Short: "Convert TOML into the platform's JSON, and JSON into TOML",
+		Args: cli.Args(cobra.ExactArgs(1)),
+		Long: `convert writes the other format to standard output. JSON cannot hold the state directory and the log
+settings; TOML holds only those of the platform's settings that a sender reads.`,
 		Example: "  chuteweir config convert config.json > sender.toml",
 		RunE: func(command *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
@@ -152,9 +154,9 @@
 	var asJSON bool
 	showCommand := &cobra.Command{
 		Use: "show FOLDER", Short: "List a sender's pending notices", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `show reads the ledger in the state directory of a stopped or running sender and changes nothing. It lists the
-notices that are not delivered yet and those whose final outcome is not reported yet. MAY HAVE RUN counts the trips
-whose call may have taken effect.`,
+		Long: `show reads the ledger in the state directory of a stopped or running sender and changes nothing. It lists
+the notices that are not delivered yet and those whose final outcome is not reported yet. MAY HAVE RUN counts the
+trips whose call may have taken effect.`,
 		Example: "  chuteweir ledger show /var/lib/chuteweir\n  chuteweir ledger show --json /var/lib/chuteweir",
 		RunE: func(command *cobra.Command, args []string) error {
 			report, err := ledger.Read(args[0])
@@ -166,17 +168,18 @@
 	}
 	showCommand.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per line for each notice")
 	verifyCommand := &cobra.Command{
-		Use: "verify FOLDER", Short: "Read a whole ledger and summarize its contents", Args: cli.Args(cobra.ExactArgs(1)),
-		Long: `verify reads the whole ledger. It fails if bytes at the end can't be read. While a sender runs, these may be a
-record that is just being written, so run the command again before concluding that the ledger is damaged.`,
+		Use: "verify FOLDER", Short: "Read a whole ledger and summarize its contents",
+		Args: cli.Args(cobra.ExactArgs(1)),
+		Long: `verify reads the whole ledger. It fails if bytes at the end can't be read. While a sender runs, these may
+be a record that is just being written, so run the command again before concluding that the ledger is damaged.`,
 		Example: "  chuteweir ledger verify /var/lib/chuteweir",
 		RunE: func(command *cobra.Command, args []string) error {
 			report, err := ledger.Read(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(command.OutOrStdout(), "%d bytes, %d records, %d notices pending\n", report.Bytes, report.Records,
-				len(report.Owed))
+			fmt.Fprintf(command.OutOrStdout(), "%d bytes, %d records, %d notices pending\n", report.Bytes,
+				report.Records, len(report.Owed))
 			for _, kind := range slices.Sorted(mapKeys(report.Kinds)) {
 				fmt.Fprintf(command.OutOrStdout(), "  %-12s %d\n", kind, report.Kinds[kind])
 			}
@@ -229,7 +232,8 @@
 	fmt.Fprintln(table, "ID\tGRADE\tDESTINATION\tTIME LEFT\tTRIPS\tMAY HAVE RUN\tENDED\tBYTES")
 	for _, notice := range report.Owed {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%d\t%s\t%d\n", notice.ID, notice.Grade, notice.Destination,
-			notice.Until.Sub(now).Round(time.Millisecond), notice.Trips, len(notice.Ran), notice.Ended, len(notice.Body))
+			notice.Until.Sub(now).Round(time.Millisecond), notice.Trips,
+			len(notice.Ran), notice.Ended, len(notice.Body))
 	}
 	return table.Flush()
 }
@@ -249,8 +253,8 @@
 					modified = " with uncommitted changes"
 				}
 			}
-			fmt.Fprintf(command.OutOrStdout(), "chuteweir %s, revision %s%s, %s\n", info.Main.Version, revision, modified,
-				info.GoVersion)
+			fmt.Fprintf(command.OutOrStdout(), "chuteweir %s, revision %s%s, %s\n", info.Main.Version, revision,
+				modified, info.GoVersion)
 		},
 	}
 }
@@ -269,7 +273,7 @@
 			if _, err := os.Stat(labPath); err != nil {
 				if labPath, err = exec.LookPath("chutelab"); err != nil {
 					return errors.New(
-						"chutelab is neither in the directory of this program nor in PATH; go build -o bin/ ./cmd/... builds both")
+						"chutelab is neither next to this program nor in PATH; go build -o bin/ ./cmd/... builds both")
 				}
 			}
 			return syscall.Exec(labPath, append([]string{"chutelab", name}, args...), os.Environ())
--- a/cmd/chuteweir/deadlines_test.go
+++ b/cmd/chuteweir/deadlines_test.go
@@ -27,7 +27,7 @@
 )
 
 // seedLedger writes a ledger as a killed sender leaves it: the given notices with their trips, and extraNotices
-// more for destination 2, which accepts none.
+// more for destination 2, whose only receiver is draining.
 func (env *environment) seedLedger(notices ...ledger.Notice) {
 	env.t.Helper()
 	seeded, _, err := ledger.Open(env.stateDirectory, ledgerCapacity)
@@ -39,8 +39,8 @@
 		}
 	}
 	for i := range extraNotices {
-		write(ledger.Notice{Number: rules.NoticeID(i + 1), ID: fmt.Sprint("crowd-", i), Grade: "note", Portfolio: "acme",
-			Destination: 2, Until: time.Now().Add(time.Hour)})
+		write(ledger.Notice{Number: rules.NoticeID(i + 1), ID: fmt.Sprint("crowd-", i), Grade: "note",
+			Portfolio: "acme", Destination: 2, Until: time.Now().Add(time.Hour)})
 	}
 	for i, notice := range notices {
 		notice.Number = rules.NoticeID(extraNotices + i + 1)
@@ -151,8 +151,8 @@
 	}
 }
 
-// Guards against the same fault during a shutdown: a response after the true timeout must leave the outcome in the
-// ledger for the next process to report.
+// Guards against counting a response after the client timeout as a delivery during a shutdown: the notice was read
+// late, and its outcome must stay in the ledger for the next process to report.
 func TestNoticeIsReportedWhenResponseMissesTimeoutDuringShutdown(t *testing.T) {
 	env := startEnvironment(t)
 	deadline := env.submitReadLate("order", "late", 4*time.Second, senderPause)
@@ -165,8 +165,8 @@
 // Guards against taking a response for timely that arrived after the client timeout, when the sender was paused
 // over both and compares against a clock reading from before the pause.
 func TestNoticeIsReportedWhenPausedSenderReadsResponseLate(t *testing.T) {
-	// A resumed sender may handle the timeout before the response, which would hide the fault: each grade is tried often.
-	const attempts = 4
+	// A resumed sender may handle the timeout before the response, which would hide the fault.
+	const attempts = 4 // of each grade
 	for attempt := range 2 * attempts {
 		grade := []string{"note", "order"}[attempt%2]
 		t.Run(fmt.Sprint(grade, " ", attempt/2), func(t *testing.T) {
--- a/cmd/chuteweir/exchanges_test.go
+++ b/cmd/chuteweir/exchanges_test.go
@@ -95,7 +95,7 @@
 	atMostOnce           bool // it must not take effect twice
 	accepted             bool
 	delivered            bool // a receiver responded to it with 200
-	executions           int
+	executions           int  // calls that took effect
 	calls, finalOutcomes int
 }
 
@@ -126,7 +126,7 @@
 // submitMany submits messages at random intervals of a given mean, and waits until the client timeout of all has
 // passed. Most messages are for a few of the destinations, and two of five have the at-most-once grade.
 func (env *environment) submitMany(results *messageResults, destinations int, meanInterval time.Duration) {
-	var submissions sync.WaitGroup
+	var pending sync.WaitGroup
 	random := rand.New(rand.NewPCG(37, 37))
 	end := time.Now().Add(submissionTime)
 	for i := 0; time.Now().Before(end); i++ {
@@ -138,7 +138,7 @@
 		results.messages[id] = &messageResult{atMostOnce: grade == "order"}
 		results.mu.Unlock()
 		destination := firstScriptedDestination + int(float64(destinations)*math.Pow(random.Float64(), 2))
-		submissions.Go(func() {
+		pending.Go(func() {
 			accepted := env.sendRaw(
 				submission(grade, id, int(scriptedTimeout.Milliseconds()), destination, "body")) == "202 Accepted"
 			results.mu.Lock()
@@ -147,7 +147,7 @@
 		})
 		time.Sleep(time.Duration(random.ExpFloat64() * float64(meanInterval)))
 	}
-	submissions.Wait()
+	pending.Wait()
 	time.Sleep(scriptedTimeout + 400*time.Millisecond)
 }
 
@@ -183,10 +183,10 @@
 			lost++
 		}
 	}
-	env.t.Logf("%d messages, %d accepted, %d delivered, %d lost, %d run twice",
+	env.t.Logf("%d messages, %d accepted, %d delivered, %d lost, %d took effect twice",
 		len(results.messages), accepted, delivered, lost, twice)
 	if lost+twice > 0 {
-		env.t.Errorf("%d messages lost, %d run twice", lost, twice)
+		env.t.Errorf("%d messages lost, %d took effect twice", lost, twice)
 	}
 	if delivered < 100 {
 		env.t.Errorf("%d messages delivered; want at least 100 for a meaningful test", delivered)
@@ -195,7 +195,7 @@
 
 // duplicatePlan is how a receiver writes one successful response in ten a second time.
 type duplicatePlan struct {
-	slots          string
+	slots          string        // of the sender, in its settings
 	responseDelay  time.Duration // of a response to its call
 	duplicateDelay time.Duration // of the duplicate after the response
 	nextStatus     int           // of the response to the next call on that connection, which takes nextResponseDelay
@@ -264,7 +264,8 @@
 		"70ms":          {slots: "6", responseDelay: 30 * ms, duplicateDelay: 70 * ms, nextStatus: 503},
 		"150ms":         {slots: "2", responseDelay: 30 * ms, duplicateDelay: 150 * ms, nextStatus: 503},
 		"400ms":         {slots: "6", responseDelay: 30 * ms, duplicateDelay: 400 * ms, nextStatus: 503},
-		"held up":       {slots: "6", responseDelay: 30 * ms, duplicateDelay: 7 * ms, nextStatus: 503, pausesSender: true},
+		"held up": {slots: "6", responseDelay: 30 * ms, duplicateDelay: 7 * ms, nextStatus: 503,
+			pausesSender: true},
 	}
 	for name, plan := range plans {
 		t.Run(name, func(t *testing.T) {
@@ -336,11 +337,13 @@
 func TestUnsolicitedResponseMakesNextCallAmbiguous(t *testing.T) {
 	const ms, destinations = time.Millisecond, 60
 	plans := map[string]unsolicitedPlan{
-		"200 then 503":        {firstStatus: 200, unsolicitedStatus: 200, secondStatus: 503, secondDelay: 80 * ms},
-		"503 then 200":        {firstStatus: 503, unsolicitedStatus: 503, secondStatus: 200, secondDelay: 80 * ms},
-		"200 then 200":        {firstStatus: 200, unsolicitedStatus: 200, secondStatus: 200, secondDelay: 80 * ms},
-		"half a 200 then 503": {firstStatus: 200, unsolicitedStatus: 200, truncated: true, secondStatus: 503, secondDelay: 40 * ms},
-		"half a 503 then 200": {firstStatus: 503, unsolicitedStatus: 503, truncated: true, secondStatus: 200, secondDelay: 40 * ms},
+		"200 then 503": {firstStatus: 200, unsolicitedStatus: 200, secondStatus: 503, secondDelay: 80 * ms},
+		"503 then 200": {firstStatus: 503, unsolicitedStatus: 503, secondStatus: 200, secondDelay: 80 * ms},
+		"200 then 200": {firstStatus: 200, unsolicitedStatus: 200, secondStatus: 200, secondDelay: 80 * ms},
+		"half a 200 then 503": {firstStatus: 200, unsolicitedStatus: 200, truncated: true, secondStatus: 503,
+			secondDelay: 40 * ms},
+		"half a 503 then 200": {firstStatus: 503, unsolicitedStatus: 503, truncated: true, secondStatus: 200,
+			secondDelay: 40 * ms},
 		"200 and 503 at once": {firstStatus: 200, unsolicitedStatus: 200, secondStatus: 503},
 	}
 	for name, plan := range plans {
@@ -355,9 +358,8 @@
 	}
 }
 
-// Guards against a killed sender that has written off a notice as delivered by a response that could still turn out
-// to be the duplicate of an earlier one: after the restart its outcome is ambiguous, and it is reported as given
-// up.
+// Guards against recording a notice as delivered at once by a response that may still turn out to be the duplicate of
+// an earlier one: if the sender is killed before that is settled, the notice must be reported as given up.
 func TestUnconfirmedResponseIsAmbiguousAfterKill(t *testing.T) {
 	env := startEnvironment(t)
 	answered := make(chan bool, 1)
--- a/cmd/chuteweir/main.go
+++ b/cmd/chuteweir/main.go
@@ -15,7 +15,7 @@
 		path, state := os.Getenv("PROXY_CONFIG"), os.Getenv("PROXY_STATE")
 		if path == "" || state == "" {
 			return cli.Misused(
-				"PROXY_CONFIG must name the configuration file and PROXY_STATE the state directory; see also chuteweir help")
+				"PROXY_CONFIG must name the configuration file and PROXY_STATE the state directory; see chuteweir help")
 		}
 		return serve(path, state, "", "")
 	}
--- a/cmd/chuteweir/main_test.go
+++ b/cmd/chuteweir/main_test.go
@@ -24,6 +24,7 @@
 // program is the path of the program under test, which TestMain builds.
 var program string
 
+// TestMain builds the program once for all tests.
 func TestMain(m *testing.M) {
 	directory, err := os.MkdirTemp("", "chuteweir")
 	if err != nil {
@@ -42,8 +43,8 @@
 	os.Exit(code)
 }
 
-// Guards against notices that are not delivered although trips fail, in the ways a trip may fail, before one
-// succeeds.
+// Checks that notices are delivered, also after trips that fail by an error status or a connection reset, and that
+// responses without a length and in chunks count as deliveries.
 func TestServes(t *testing.T) {
 	env := startEnvironment(t)
 	env.submit("note", "n-1", 12000, 1)
@@ -335,7 +336,8 @@
 		}
 		// The connection ends within the body: the call may have taken effect, and the wait requested in the head
 		// applies.
-		return standin.Reply{Raw: "HTTP/1.1 429 Wait\r\nRetry-After: 7.5\r\nContent-Length: 100\r\n\r\ncut", Close: true}
+		return standin.Reply{Raw: "HTTP/1.1 429 Wait\r\nRetry-After: 7.5\r\nContent-Length: 100\r\n\r\ncut",
+			Close: true}
 	})
 	env.submit("order", "o-1", 12000, 1)
 	env.awaitLines(1, "receiver")
@@ -371,17 +373,17 @@
 			accepted++
 		case "503 Service Unavailable":
 		default:
-			t.Errorf("%s: %s", id, answer)
+			t.Errorf("%s was answered by %q; want 202 Accepted or 503 Service Unavailable", id, answer)
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
 	handedBack := map[string]bool{}
-	collectReports := func() { // from the outcome reports that the platform has accepted, each of which may hold several
+	collectReports := func() { // from the reports that the platform has accepted, each of which may hold several
 		for _, recorded := range env.recorded() {
 			if reports, ok := strings.CutPrefix(recorded, "platform: "); ok {
 				for line := range strings.Lines(reports) {
 					if !strings.Contains(line, `"outcome":"handed_back"`) {
-						t.Errorf("%s", line)
+						t.Errorf("want the outcome handed_back, got %s", line)
 					}
 					handedBack[strings.TrimSpace(line)] = true
 				}
@@ -444,7 +446,7 @@
 		command.Env = append(os.Environ(), "PROXY_CONFIG="+path, "PROXY_STATE="+t.TempDir())
 		out, err := command.CombinedOutput()
 		if err == nil || !strings.HasPrefix(string(out), "chuteweir: ") || strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%s: %v: %s", text, err, out)
+			t.Errorf("configuration %s: want an exit with an error of one line, got %v: %s", text, err, out)
 		}
 	}
 }
@@ -644,6 +646,7 @@
 		}
 	}
 	if len(accepted) < 100 || len(delivered) < 50 {
-		t.Errorf("%d accepted, %d delivered; want at least 100 and 50 for a meaningful test", len(accepted), len(delivered))
+		t.Errorf("%d accepted, %d delivered; want at least 100 and 50 for a meaningful test", len(accepted),
+			len(delivered))
 	}
 }
--- a/cmd/chuteweir/waits_test.go
+++ b/cmd/chuteweir/waits_test.go
@@ -90,7 +90,8 @@
 
 // checkWaitIsFollowed checks that nothing is sent during a wait of 2 s that a receiver requests when it responds to
 // the first call.
-func checkWaitIsFollowed(t *testing.T, respondFirst func(*waitChecker, *standin.Asked) standin.Reply, replacements ...string) {
+func checkWaitIsFollowed(t *testing.T, respondFirst func(*waitChecker, *standin.Asked) standin.Reply,
+	replacements ...string) {
 	checker := newWaitChecker(startEnvironment(t, replacements...))
 	checker.respondWith(func(call *standin.Asked) standin.Reply {
 		checker.recordCall(call.ID)
