--- a/cmd/chuteweir/main_test.go
+++ b/cmd/chuteweir/main_test.go
@@ -289,8 +289,8 @@
 {"message":"n-3","outcome":"handed_back"}
 {"message":"n-4","outcome":"handed_back"}
 `)
-	if !strings.Contains(env.log.String(), `end of \"n-2\", which is given up`) {
-		t.Errorf("the log does not name the outcome that was given up: %s", env.log)
+	if !strings.Contains(env.log.String(), `the outcome report of notice \"n-2\": dropped`) {
+		t.Errorf("the log does not name the outcome report that was dropped: %s", env.log)
 	}
 	env.shutDown()
 }
