--- a/internal/conf/read.go
+++ b/internal/conf/read.go
@@ -10,15 +10,16 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
-	File  string
-	Line  int    // 0: not in one place
-	Key   string // with its section
-	What  string // is wrong
-	Right string // would be right, or empty
+	File     string
+	Line     int    // 0: the fault belongs to no single line
+	Key      string // with its section, or empty
+	Problem  string // what was found
+	Expected string // what would be valid, or empty
 }
 
+// Error names the place, what was found and what was expected.
 func (f Fault) Error() string {
 	place := f.File
 	if f.Line > 0 {
@@ -28,16 +29,17 @@
 	if f.Key != "" {
 		text += f.Key + ": "
 	}
-	text += f.What
-	if f.Right != "" {
-		text += "; right would be " + f.Right
+	text += f.Problem
+	if f.Expected != "" {
+		text += "; right would be " + f.Expected
 	}
 	return text
 }
 
-// Faults is all that is wrong with a file, in the order of its lines.
+// Faults is all errors in a file, sorted by line.
 type Faults []Fault
 
+// Error lists the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -46,7 +48,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Or is the faults as an error, or nil if there are none.
+// Or returns the faults as an error, or nil if there are none.
 func (f Faults) Or() error {
 	if len(f) == 0 {
 		return nil
@@ -54,15 +56,15 @@
 	return f
 }
 
-// Block is one section of a file, with the defaults of the keys that it leaves out.
+// Block is one section as it occurs in a file. Keys that the file does not set have their defaults.
 type Block struct {
 	section *Section
-	Line    int // of its head; 0: the file has none
+	Line    int // of its header; 0: the file has no such section
 	values  map[string]any
 	lines   map[string]int
 }
 
-// File is what a file says.
+// File holds the values of a parsed file.
 type File struct {
 	Name   string
 	table  Table
@@ -70,65 +72,68 @@
 	faults Faults
 }
 
-// Read reads a file's text. The File is whole even if there are faults: what is wrong has its default.
+// Read parses a file's text. The File is complete even if there are faults: a key with an invalid value has its
+// default.
 func Read(name string, text []byte, table Table) (*File, Faults) {
-	f := &File{Name: name, table: table, blocks: map[string][]*Block{}}
-	top := f.block(table.section(""), 0)
-	here, prefix, skipping := top, "", false
+	file := &File{Name: name, table: table, blocks: map[string][]*Block{}}
+	top := file.addBlock(table.section(""), 0)
+	current, prefix, skipping := top, "", false
 	parser := unstable.Parser{}
 	parser.Reset(text)
-	line := func(n *unstable.Node) int {
+	lineOf := func(n *unstable.Node) int {
 		if n == nil || n.Raw.Length == 0 {
 			return 0
 		}
 		return parser.Shape(n.Raw).Start.Line
 	}
 	for parser.NextExpression() {
-		e := parser.Expression()
-		path, first := pathOf(e)
-		at := line(first)
-		switch e.Kind {
+		expression := parser.Expression()
+		path, firstKey := pathOf(expression)
+		line := lineOf(firstKey)
+		switch expression.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			here, prefix, skipping = f.open(path, at, e.Kind == unstable.ArrayTable)
+			current, prefix, skipping = file.openSection(path, line, expression.Kind == unstable.ArrayTable)
 		case unstable.KeyValue:
 			if skipping {
 				continue
 			}
-			to := here
+			target := current
 			if i := strings.LastIndex(path, "."); i >= 0 && prefix == "" {
-				if to, _, skipping = f.open(path[:i], at, false); skipping {
+				if target, _, skipping = file.openSection(path[:i], line, false); skipping {
 					skipping = false
 					continue
 				}
 				path = path[i+1:]
 			}
-			f.set(to, path, at, e.Value(), &parser)
+			file.setKey(target, path, line, expression.Value(), &parser)
 		}
 	}
-	var broken *unstable.ParserError
-	if err := parser.Error(); errors.As(err, &broken) {
-		at := 0
-		if len(broken.Highlight) > 0 {
-			at = parser.Shape(parser.Range(broken.Highlight)).Start.Line
+	var parseErr *unstable.ParserError
+	if err := parser.Error(); errors.As(err, &parseErr) {
+		line := 0
+		if len(parseErr.Highlight) > 0 {
+			line = parser.Shape(parser.Range(parseErr.Highlight)).Start.Line
 		}
-		f.faults = append(f.faults, Fault{name, at, "", broken.Message, "a line of TOML; nothing behind it was read"})
+		file.faults = append(file.faults,
+			Fault{name, line, "", parseErr.Message, "a line of TOML; nothing after it was read"})
 	} else if err != nil {
-		f.faults = append(f.faults, Fault{name, 0, "", err.Error(), ""})
+		file.faults = append(file.faults, Fault{name, 0, "", err.Error(), ""})
 	}
-	f.complete()
-	return f, f.Faults()
+	file.addMissing()
+	return file, file.Faults()
 }
 
-// Faults is what was found wrong so far, sorted by line.
+// Faults returns the faults found so far, sorted by line.
 func (f *File) Faults() Faults {
 	sort.SliceStable(f.faults, func(i, j int) bool { return f.faults[i].Line < f.faults[j].Line })
 	return slices.Clone(f.faults)
 }
 
-func pathOf(e *unstable.Node) (string, *unstable.Node) {
+// pathOf returns the dotted key of an expression and the node of its first part.
+func pathOf(expression *unstable.Node) (string, *unstable.Node) {
 	var parts []string
 	var first *unstable.Node
-	for it := e.Key(); it.Next(); {
+	for it := expression.Key(); it.Next(); {
 		if first == nil {
 			first = it.Node()
 		}
@@ -137,34 +142,36 @@
 	return strings.Join(parts, "."), first
 }
 
-func (f *File) block(s *Section, line int) *Block {
-	b := &Block{section: s, Line: line, values: map[string]any{}, lines: map[string]int{}}
-	f.blocks[s.Name] = append(f.blocks[s.Name], b)
+// addBlock adds an empty block of a section.
+func (f *File) addBlock(section *Section, line int) *Block {
+	b := &Block{section: section, Line: line, values: map[string]any{}, lines: map[string]int{}}
+	f.blocks[section.Name] = append(f.blocks[section.Name], b)
 	return b
 }
 
-// open finds the block that a head begins, or says why there is none.
-func (f *File) open(path string, line int, many bool) (b *Block, prefix string, skipping bool) {
-	s := f.table.section(path)
-	wrong := func(what, right string) (*Block, string, bool) {
-		f.faults = append(f.faults, Fault{f.Name, line, path, what, right})
+// openSection returns the block that a section header opens. If the header is invalid, it records a fault and skipping
+// is true: the keys up to the next header belong to no section.
+func (f *File) openSection(path string, line int, isArray bool) (b *Block, prefix string, skipping bool) {
+	section := f.table.section(path)
+	reject := func(problem, expected string) (*Block, string, bool) {
+		f.faults = append(f.faults, Fault{f.Name, line, path, problem, expected})
 		return nil, path, true
 	}
 	switch {
-	case s == nil || path == "":
-		return wrong("no such section", "one of "+f.table.names())
-	case s.Many && !many:
-		return wrong("this section may stand more than once", "[["+path+"]]")
-	case !s.Many && many:
-		return wrong("this section stands once", "["+path+"]")
-	case !s.Many && len(f.blocks[path]) > 0:
+	case section == nil || path == "":
+		return reject("unknown section", "one of "+f.table.sectionNames())
+	case section.Many && !isArray:
+		return reject("this section can be repeated", "[["+path+"]]")
+	case !section.Many && isArray:
+		return reject("this section cannot be repeated", "["+path+"]")
+	case !section.Many && len(f.blocks[path]) > 0:
 		return f.blocks[path][0], path, false
 	}
-	return f.block(s, line), path, false
+	return f.addBlock(section, line), path, false
 }
 
-// names lists the sections.
-func (t Table) names() string {
+// sectionNames lists the names of the sections.
+func (t Table) sectionNames() string {
 	var names []string
 	for _, s := range t {
 		if s.Name != "" {
@@ -174,114 +181,122 @@
 	return strings.Join(names, ", ")
 }
 
-func (f *File) set(b *Block, name string, line int, value *unstable.Node, parser *unstable.Parser) {
-	full := b.path(name)
-	k := b.section.key(name)
-	if k == nil {
+// setKey records the value of a key, or a fault if the key is unknown, repeated or has an invalid value.
+func (f *File) setKey(block *Block, name string, line int, value *unstable.Node, parser *unstable.Parser) {
+	fullName := block.keyPath(name)
+	key := block.section.key(name)
+	if key == nil {
 		var names []string
-		for _, k := range b.section.Keys {
+		for _, k := range block.section.Keys {
 			names = append(names, k.Name)
 		}
-		f.faults = append(f.faults, Fault{f.Name, line, full, "no such key", "one of " + strings.Join(names, ", ")})
+		f.faults = append(f.faults, Fault{f.Name, line, fullName, "unknown key", "one of " + strings.Join(names, ", ")})
 		return
 	}
-	if at, twice := b.lines[name]; twice {
-		f.faults = append(f.faults, Fault{f.Name, line, full, fmt.Sprintf("stands at line %d already", at), "one of the two"})
+	if firstLine, duplicate := block.lines[name]; duplicate {
+		f.faults = append(f.faults, Fault{f.Name, line, fullName,
+			fmt.Sprintf("is already set on line %d", firstLine), "only one of the two"})
 		return
 	}
-	b.lines[name] = line
+	block.lines[name] = line
 	switch value.Kind {
 	case unstable.String, unstable.Bool, unstable.Integer, unstable.Float:
 	default:
-		f.faults = append(f.faults, Fault{f.Name, line, full, "is neither text nor number nor flag", k.right()})
+		f.faults = append(f.faults,
+			Fault{f.Name, line, fullName, "is not a text, a number or a flag", key.expected()})
 		return
 	}
-	v, err := k.parse(string(value.Data), value.Kind == unstable.String)
+	parsed, err := key.parse(string(value.Data), value.Kind == unstable.String)
 	if err != nil {
-		f.faults = append(f.faults, Fault{f.Name, line, full, err.Error(), k.right()})
+		f.faults = append(f.faults, Fault{f.Name, line, fullName, err.Error(), key.expected()})
 		return
 	}
-	b.values[name] = v
+	block.values[name] = parsed
 }
 
-func (b *Block) path(name string) string {
+// keyPath returns the name of a key with its section.
+func (b *Block) keyPath(name string) string {
 	if b.section.Name == "" {
 		return name
 	}
 	return b.section.Name + "." + name
 }
 
-// complete notes what must be there and is not.
-func (f *File) complete() {
+// addMissing adds a block for each section that the file lacks, and a fault for each required section or key that is
+// missing.
+func (f *File) addMissing() {
 	for i := range f.table {
-		s := &f.table[i]
-		if n := len(f.blocks[s.Name]); s.Many && n < s.Least {
-			f.faults = append(f.faults, Fault{f.Name, 0, s.Name, fmt.Sprintf("stands %d times", n),
-				fmt.Sprintf("[[%s]] at least %d times", s.Name, s.Least)})
+		section := &f.table[i]
+		if count := len(f.blocks[section.Name]); section.Many && count < section.Least {
+			f.faults = append(f.faults, Fault{f.Name, 0, section.Name, fmt.Sprintf("was found %d times", count),
+				fmt.Sprintf("[[%s]] at least %d times", section.Name, section.Least)})
 		}
-		if !s.Many && len(f.blocks[s.Name]) == 0 {
-			f.block(s, 0)
+		if !section.Many && len(f.blocks[section.Name]) == 0 {
+			f.addBlock(section, 0)
 		}
-		for _, b := range f.blocks[s.Name] {
-			for i := range s.Keys {
-				k := &s.Keys[i]
-				if _, there := b.lines[k.Name]; k.Required && !there {
-					f.faults = append(f.faults, Fault{f.Name, b.Line, b.path(k.Name), "must be there", k.right()})
+		for _, block := range f.blocks[section.Name] {
+			for i := range section.Keys {
+				key := &section.Keys[i]
+				if _, present := block.lines[key.Name]; key.Required && !present {
+					f.faults = append(f.faults,
+						Fault{f.Name, block.Line, block.keyPath(key.Name), "is required but missing", key.expected()})
 				}
 			}
 		}
 	}
 }
 
-// One is the block of a section that stands once.
+// One returns the block of a section that cannot be repeated.
 func (f *File) One(section string) *Block { return f.blocks[section][0] }
 
-// All is the blocks of a section that may stand more than once, in the file's order.
+// All returns the blocks of a section that can be repeated, in the file's order.
 func (f *File) All(section string) []*Block { return f.blocks[section] }
 
-// Wrong notes a fault of a key that only the reader of the whole file can see.
-func (f *File) Wrong(b *Block, key, what, right string) {
-	line := b.Line
-	if at := b.lines[key]; at > 0 {
-		line = at
+// Wrong records a fault of a key that the table cannot check, such as one that depends on other keys.
+func (f *File) Wrong(block *Block, key, problem, expected string) {
+	line := block.Line
+	if keyLine := block.lines[key]; keyLine > 0 {
+		line = keyLine
 	}
-	f.faults = append(f.faults, Fault{f.Name, line, b.path(key), what, right})
+	f.faults = append(f.faults, Fault{f.Name, line, block.keyPath(key), problem, expected})
 }
 
-// Said tells whether the file itself says a key.
-func (b *Block) Said(key string) bool { _, said := b.values[key]; return said }
+// IsSet reports whether the file itself sets a key to a valid value.
+func (b *Block) IsSet(key string) bool { _, set := b.values[key]; return set }
 
+// value returns the value of a key: from the file, else the default, else nil. It panics if the key is not in the
+// table.
 func (b *Block) value(key string) any {
-	if v, said := b.values[key]; said {
+	if v, set := b.values[key]; set {
 		return v
 	}
-	k := b.section.key(key)
-	if k == nil {
-		panic("conf: no key " + b.path(key))
+	declared := b.section.key(key)
+	if declared == nil {
+		panic("conf: unknown key " + b.keyPath(key))
 	}
-	if k.Default == "" {
+	if declared.Default == "" {
 		return nil
 	}
-	text := k.Default
+	text := declared.Default
 	quoted := strings.HasPrefix(text, `"`)
-	v, err := k.parse(strings.Trim(text, `"`), quoted)
+	v, err := declared.parse(strings.Trim(text, `"`), quoted)
 	if err != nil {
-		panic("conf: default of " + b.path(key) + ": " + err.Error())
+		panic("conf: invalid default of " + b.keyPath(key) + ": " + err.Error())
 	}
 	return v
 }
 
-// Number is a number in its kind's unit.
+// Number returns a number in its kind's unit, or 0 if the key has no value.
 func (b *Block) Number(key string) float64 { n, _ := b.value(key).(float64); return n }
 
-// Int is a whole number.
+// Int returns a whole number, or 0 if the key has no value.
 func (b *Block) Int(key string) int { return int(b.Number(key)) }
 
-// Text is a text, address or choice.
+// Text returns a text, address or choice, or an empty text if the key has no value.
 func (b *Block) Text(key string) string { s, _ := b.value(key).(string); return s }
 
-// Flag is a flag.
+// Flag returns a flag, or false if the key has no value.
 func (b *Block) Flag(key string) bool { v, _ := b.value(key).(bool); return v }
 
-// Seed is a seed, and whether the file says one.
-func (b *Block) Seed(key string) (uint64, bool) { n, said := b.value(key).(uint64); return n, said }
+// Seed returns a seed and whether the file sets one.
+func (b *Block) Seed(key string) (uint64, bool) { n, set := b.value(key).(uint64); return n, set }
--- a/internal/conf/table.go
+++ b/internal/conf/table.go
@@ -1,6 +1,5 @@
-// Package conf reads TOML files against a table of the keys that they may hold. Whatever is wrong with a file is
-// told at once, each fault with its place and with what would be right. The table that checks a file also writes
-// the page that documents it.
+// Package conf reads TOML files against a table of the keys that they may have. It reports all faults of a file at
+// once, each with its line and with what was expected. The page that documents the file is made from the same table.
 package conf
 
 import (
@@ -13,16 +12,16 @@
 	"github.com/dustin/go-humanize"
 )
 
-// Kind is what a key's value is.
+// Kind is the kind of value that a key has.
 type Kind int
 
-// The kinds of value. Numbers come out of a Block in the unit named here.
+// The kinds of value. Block.Number returns numbers in the unit named here.
 const (
 	Text    Kind = iota
 	Address      // host:port
-	Span         // "2.5s", in milliseconds
-	Size         // "3MB", "64MiB", in bytes
-	Rate         // "20/s", in a second
+	Span         // a duration such as "2.5s", in milliseconds
+	Size         // such as "3MB" or "64MiB", in bytes
+	Rate         // such as "20/s", per second
 	Count        // a whole number
 	Share        // a number from 0 to 1
 	Number       // any number
@@ -31,6 +30,7 @@
 	Seed         // up to 16 hexadecimal digits
 )
 
+// kinds holds the name of each kind and an example for error messages.
 var kinds = map[Kind]struct{ name, example string }{
 	Text: {"text", `"some words"`}, Address: {"address", `"127.0.0.1:8443"`}, Span: {"span", `"2.5s"`},
 	Size: {"size", `"3MB"`}, Rate: {"rate", `"20/s"`}, Count: {"count", `12`}, Share: {"share", `0.25`},
@@ -41,18 +41,18 @@
 type Key struct {
 	Name     string
 	Kind     Kind
-	Default  string // as it would stand in a file; empty: none, which for a number is 0
+	Default  string // as written in a file; empty: no default, and a number is 0
 	Required bool
-	Min, Max float64 // of a number in its kind's unit; no bounds where Max is 0, none above where it is infinite
+	Min, Max float64 // of a number, in its kind's unit; Max 0: none, or 0 to 1 for a Share; Unbounded: no upper bound
 	Choices  []string
 	Doc      string
 }
 
-// Section is a table of the file, or with Many an array of tables. The section without a name is the file's top.
+// Section is a TOML table, or with Many an array of tables. The section without a name holds the top-level keys.
 type Section struct {
 	Name  string
 	Many  bool
-	Least int // with Many: how many there must be
+	Least int // with Many: the minimum number of tables
 	Doc   string
 	Keys  []Key
 }
@@ -60,9 +60,10 @@
 // Table is all sections that a file may have.
 type Table []Section
 
-// Unbounded is a Max that any number keeps.
+// Unbounded is a Max without an upper bound.
 var Unbounded = math.Inf(1)
 
+// section returns the section with a name, or nil.
 func (t Table) section(name string) *Section {
 	for i := range t {
 		if t[i].Name == name {
@@ -72,6 +73,7 @@
 	return nil
 }
 
+// key returns the key with a name, or nil.
 func (s *Section) key(name string) *Key {
 	for i := range s.Keys {
 		if s.Keys[i].Name == name {
@@ -81,15 +83,15 @@
 	return nil
 }
 
-// numeric tells whether values of a kind are kept as numbers.
-func (k Kind) numeric() bool { return k >= Span && k <= Number }
+// isNumeric reports whether values of a kind are stored as numbers.
+func (k Kind) isNumeric() bool { return k >= Span && k <= Number }
 
-// parse reads a value that stands in a file as text or as a bare literal, quoted or not.
+// parse converts a value from the file; quoted tells a TOML string from a bare literal.
 func (k *Key) parse(text string, quoted bool) (any, error) {
 	switch k.Kind {
 	case Flag:
 		if quoted || text != "true" && text != "false" {
-			return nil, fmt.Errorf("%s is no flag", text)
+			return nil, fmt.Errorf("%s is not a flag", text)
 		}
 		return text == "true", nil
 	case Text:
@@ -103,7 +105,7 @@
 			host, port = text[:i], text[i+1:]
 		}
 		if n, err := strconv.ParseUint(port, 10, 16); !quoted || !found || host == "" || err != nil || n > 65535 {
-			return nil, fmt.Errorf("%q is no address with a port", text)
+			return nil, fmt.Errorf("%q is not an address with a port", text)
 		}
 		return text, nil
 	case Choice:
@@ -112,15 +114,15 @@
 				return text, nil
 			}
 		}
-		return nil, fmt.Errorf("%q is none of the choices", text)
+		return nil, fmt.Errorf("%q is not one of the choices", text)
 	case Seed:
 		n, err := strconv.ParseUint(text, 16, 64)
 		if !quoted || err != nil {
-			return nil, fmt.Errorf("%q is no hexadecimal number of 64 bits", text)
+			return nil, fmt.Errorf("%q is not a hexadecimal number of up to 64 bits", text)
 		}
 		return n, nil
 	}
-	n, err := number(k.Kind, text, quoted)
+	n, err := parseNumber(k.Kind, text, quoted)
 	if err != nil {
 		return nil, err
 	}
@@ -134,11 +136,12 @@
 	return n, nil
 }
 
-func number(kind Kind, text string, quoted bool) (float64, error) {
-	plain := func() (float64, error) {
+// parseNumber converts a value of a numeric kind to the kind's unit.
+func parseNumber(kind Kind, text string, quoted bool) (float64, error) {
+	parseFloat := func() (float64, error) {
 		n, err := strconv.ParseFloat(strings.ReplaceAll(text, "_", ""), 64)
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-			return 0, fmt.Errorf("%q is no number", text)
+			return 0, fmt.Errorf("%q is not a number", text)
 		}
 		return n, nil
 	}
@@ -146,38 +149,38 @@
 	case Span:
 		d, err := time.ParseDuration(text)
 		if err != nil || !quoted {
-			return 0, fmt.Errorf("%s is no span with a unit", text)
+			return 0, fmt.Errorf("%s is not a span with a unit", text)
 		}
 		return float64(d) / float64(time.Millisecond), nil
 	case Size:
 		if !quoted {
-			return 0, fmt.Errorf("%s is no size with a unit", text)
+			return 0, fmt.Errorf("%s is not a size with a unit", text)
 		}
 		n, err := humanize.ParseBytes(text)
 		if err != nil {
-			return 0, fmt.Errorf("%q is no size with a unit", text)
+			return 0, fmt.Errorf("%q is not a size with a unit", text)
 		}
 		return float64(n), nil
 	case Rate:
-		bare, found := strings.CutSuffix(text, "/s")
+		withoutUnit, found := strings.CutSuffix(text, "/s")
 		if !found || !quoted {
-			return 0, fmt.Errorf("%s is no rate a second", text)
+			return 0, fmt.Errorf("%s is not a rate per second", text)
 		}
-		text = bare
-		return plain()
+		text = withoutUnit
+		return parseFloat()
 	}
 	if quoted {
-		return 0, fmt.Errorf("%q is a text and no number", text)
+		return 0, fmt.Errorf("%q is a text, not a number", text)
 	}
-	n, err := plain()
+	n, err := parseFloat()
 	if err == nil && kind == Count && n != math.Trunc(n) {
-		return 0, fmt.Errorf("%s is no whole number", text)
+		return 0, fmt.Errorf("%s is not a whole number", text)
 	}
 	return n, err
 }
 
-// right says what a key's value may be.
-func (k *Key) right() string {
+// expected describes the valid values of a key.
+func (k *Key) expected() string {
 	if k.Kind == Choice {
 		return "one of " + strings.Join(k.Choices, ", ")
 	}
@@ -191,24 +194,25 @@
 	return text
 }
 
+// bounds describes the valid range of a number, or is empty if there is none.
 func (k *Key) bounds() string {
 	high := k.Max
 	if k.Kind == Share && high == 0 {
 		high = 1
 	}
 	switch {
-	case !k.Kind.numeric() || high == 0:
+	case !k.Kind.isNumeric() || high == 0:
 		return ""
 	case math.IsInf(high, 1):
-		return "at least " + k.show(k.Min)
+		return "at least " + k.format(k.Min)
 	}
-	return "from " + k.show(k.Min) + " to " + k.show(high)
+	return "from " + k.format(k.Min) + " to " + k.format(high)
 }
 
-// show writes a number in its kind's unit.
-func (k *Key) show(n float64) string { return Show(k.Kind, n) }
+// format formats a number of the key's kind.
+func (k *Key) format(n float64) string { return Show(k.Kind, n) }
 
-// Show writes a number of a kind as it would stand in a file, without quotes.
+// Show formats a number of a kind as written in a file, without quotes.
 func Show(kind Kind, n float64) string {
 	switch kind {
 	case Span:
@@ -232,36 +236,38 @@
 	return strconv.FormatFloat(n, 'f', -1, 64)
 }
 
-// Page documents the table in Markdown, a section each.
+// Page returns the documentation of the table in Markdown, with one heading per section.
 func (t Table) Page() string {
-	var b strings.Builder
-	for _, s := range t {
-		name := "The top of the file"
+	var page strings.Builder
+	for _, section := range t {
+		name := "Top level"
 		switch {
-		case s.Many:
-			name = "`[[" + s.Name + "]]`"
-		case s.Name != "":
-			name = "`[" + s.Name + "]`"
+		case section.Many:
+			name = "`[[" + section.Name + "]]`"
+		case section.Name != "":
+			name = "`[" + section.Name + "]`"
 		}
-		fmt.Fprintf(&b, "## %s\n\n%s\n\n| key | value | default | what it is |\n| --- | --- | --- | --- |\n", name, s.Doc)
-		for i := range s.Keys {
-			k := &s.Keys[i]
-			value := kinds[k.Kind].name
-			if k.Kind == Choice {
-				value = "`" + strings.Join(k.Choices, "`, `") + "`"
-			} else if bounds := k.bounds(); bounds != "" {
+		fmt.Fprintf(&page,
+			"## %s\n\n%s\n\n| key | value | default | description |\n| --- | --- | --- | --- |\n",
+			name, section.Doc)
+		for i := range section.Keys {
+			key := &section.Keys[i]
+			value := kinds[key.Kind].name
+			if key.Kind == Choice {
+				value = "`" + strings.Join(key.Choices, "`, `") + "`"
+			} else if bounds := key.bounds(); bounds != "" {
 				value += ", " + bounds
 			}
-			def := "none"
+			defaultText := "none"
 			switch {
-			case k.Required:
-				def = "must be there"
-			case k.Default != "":
-				def = "`" + k.Default + "`"
+			case key.Required:
+				defaultText = "required"
+			case key.Default != "":
+				defaultText = "`" + key.Default + "`"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", k.Name, value, def, k.Doc)
+			fmt.Fprintf(&page, "| `%s` | %s | %s | %s |\n", key.Name, value, defaultText, key.Doc)
 		}
-		b.WriteString("\n")
+		page.WriteString("\n")
 	}
-	return strings.TrimSuffix(b.String(), "\n")
+	return strings.TrimSuffix(page.String(), "\n")
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,11 +18,11 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Config is what a sender is told.
+// Config is the configuration of a sender.
 type Config struct {
 	Name, Listen, Discovery, State string
 	Seed                           uint64
-	Drawn                          bool // the seed: the file says none
+	Drawn                          bool // the file sets no seed, and Seed is random
 	Format, Level                  string
 	Machine                        limits.Machine
 	Settings                       rules.Settings
@@ -30,11 +30,12 @@
 	Known                          directory.List
 }
 
-// Limits is what the sender may use of its machine.
+// Limits returns the limits that follow from the machine and the settings.
 func (c Config) Limits() limits.Limits { return limits.For(c.Machine, c.Settings, c.Names.ConnectTime) }
 
-// Load reads a file: JSON if its name ends so or its text begins like an object, else TOML. Faults that a sender can
-// live with come as the second value, in the platform's JSON only.
+// Load reads a configuration file: the platform's JSON if IsJSON, else TOML. If state is not empty, it replaces the
+// state directory of a TOML file; JSON does not set one. The second result lists values that make no sense but do not
+// keep a sender from starting; it is empty for TOML, where each fault is an error.
 func Load(path, state string) (Config, conf.Faults, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -43,138 +44,156 @@
 	if IsJSON(path, text) {
 		return FromPlatform(path, text, state)
 	}
-	c, faults := FromTOML(path, text)
+	config, faults := FromTOML(path, text)
 	if state != "" {
-		c.State = state
+		config.State = state
 	}
-	return c, nil, faults.Or()
+	return config, nil, faults.Or()
 }
 
-// IsJSON tells the platform's form from TOML.
+// IsJSON reports whether a file is the platform's JSON and not TOML: its name ends in .json or its text begins with {.
 func IsJSON(path string, text []byte) bool {
 	return strings.HasSuffix(path, ".json") || strings.HasPrefix(strings.TrimSpace(string(text)), "{")
 }
 
-// FromTOML reads a configuration in our words.
+// FromTOML reads a configuration in TOML.
 func FromTOML(name string, text []byte) (Config, conf.Faults) {
-	f, _ := conf.Read(name, text, Table)
-	top, log, machine := f.One(""), f.One("log"), f.One("machine")
-	c := Config{Name: top.Text("name"), Listen: top.Text("listen"), Discovery: top.Text("discovery"), State: top.Text("state"),
-		Format: log.Text("format"), Level: log.Text("level"),
+	file, _ := conf.Read(name, text, Table)
+	top, log, machine := file.One(""), file.One("log"), file.One("machine")
+	config := Config{Name: top.Text("name"), Listen: top.Text("listen"), Discovery: top.Text("discovery"),
+		State: top.Text("state"), Format: log.Text("format"), Level: log.Text("level"),
 		Machine: limits.Machine{MemoryMB: int(machine.Number("memory") / (1 << 20)), Sockets: machine.Int("sockets"),
 			DiskMB: machine.Number("disk") / 1e6, Cores: machine.Number("cores")}}
-	seed, said := top.Seed("seed")
-	if c.Seed, c.Drawn = seed, !said; c.Drawn {
-		c.Seed = draw()
+	seed, given := top.Seed("seed")
+	if config.Seed, config.Drawn = seed, !given; config.Drawn {
+		config.Seed = randomSeed()
 	}
-	c.Settings, c.Names = Read(f)
-	c.Known.Complete = true
+	config.Settings, config.Names = Read(file)
+	config.Known.Complete = true
 	seen := map[string]bool{}
-	for _, b := range f.All("receiver") {
-		m := directory.Member{ID: b.Text("id"), HostPort: b.Text("address"), Locality: b.Text("zone"), Flavor: b.Text("kind"),
-			Cell: int64(b.Number("destination")), Phase: b.Text("standing"), Size: b.Number("rate")}
-		if seen[m.ID] {
-			f.Wrong(b, "id", fmt.Sprintf("%q stands twice", m.ID), "an id of its own")
+	for _, block := range file.All("receiver") {
+		member := directory.Member{ID: block.Text("id"), HostPort: block.Text("address"), Locality: block.Text("zone"),
+			Flavor: block.Text("kind"), Cell: int64(block.Number("destination")), Phase: block.Text("standing"),
+			Size: block.Number("rate")}
+		if seen[member.ID] {
+			file.Wrong(block, "id", fmt.Sprintf("%q is used more than once", member.ID), "a unique id")
 		}
-		if m.Flavor != "" && settings.Index(c.Names.Kinds, m.Flavor) == len(c.Names.Kinds) {
-			f.Wrong(b, "kind", fmt.Sprintf("no [[kind]] has the name %q", m.Flavor), "one of "+list(c.Names.Kinds))
+		if member.Flavor != "" && settings.Index(config.Names.Kinds, member.Flavor) == len(config.Names.Kinds) {
+			file.Wrong(block, "kind", fmt.Sprintf("no [[kind]] has the name %q", member.Flavor),
+				"one of "+joinOrNone(config.Names.Kinds))
 		}
-		if m.Locality != "" && settings.Index(c.Names.Zones, m.Locality) == len(c.Names.Zones) {
-			f.Wrong(b, "zone", fmt.Sprintf("no [[zone]] has the name %q", m.Locality), "one of "+list(c.Names.Zones))
+		if member.Locality != "" && settings.Index(config.Names.Zones, member.Locality) == len(config.Names.Zones) {
+			file.Wrong(block, "zone", fmt.Sprintf("no [[zone]] has the name %q", member.Locality),
+				"one of "+joinOrNone(config.Names.Zones))
 		}
-		seen[m.ID] = true
-		c.Known.Members = append(c.Known.Members, m)
+		seen[member.ID] = true
+		config.Known.Members = append(config.Known.Members, member)
 	}
-	return c, f.Faults()
+	return config, file.Faults()
 }
 
-func list(names []string) string {
+// joinOrNone lists names for an error message.
+func joinOrNone(names []string) string {
 	if len(names) == 0 {
-		return "none, as there are none"
+		return "the configured names, of which there are none"
 	}
 	return strings.Join(names, ", ")
 }
 
-func draw() uint64 {
+// randomSeed draws a seed from the system's random source.
+func randomSeed() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.LittleEndian.Uint64(b[:])
 }
 
 var (
-	repeats      = map[string]rules.Repeat{"at-most-once": rules.AtMostOnce, "numbered": rules.Numbered, "reissuable": rules.Reissuable}
-	listedErrors = map[string]float64{"none": -1, "nominal": 0, "rough": 0.5}
+	repeats = map[string]rules.Repeat{
+		"at-most-once": rules.AtMostOnce, "numbered": rules.Numbered, "reissuable": rules.Reissuable,
+	}
+	// listedRateErrors is how far a listed rate may be too high, as a share of the true one; -1: it is not used.
+	listedRateErrors = map[string]float64{"none": -1, "nominal": 0, "rough": 0.5}
 )
 
-// Read decodes the sections of Sending, and notes the faults that concern several of their keys.
-func Read(f *conf.File) (rules.Settings, settings.Names) {
-	sending, goal, dismissal, back, report := f.One("sending"), f.One("goal"), f.One("dismissal"), f.One("return"), f.One("report")
+// Read decodes the sections of Sending, and records the faults that concern several of their keys.
+func Read(file *conf.File) (rules.Settings, settings.Names) {
+	sending, goal, dismissal, recovery, report := file.One("sending"), file.One("goal"), file.One("dismissal"),
+		file.One("return"), file.One("report")
 	span := func(b *conf.Block, key string) rules.Millis { return rules.Millis(b.Number(key)) }
-	s := rules.Settings{
-		Senders: sending.Int("senders"), Slots: sending.Int("slots"), HoldLimit: sending.Int("hold"), TripLimit: sending.Int("trips"),
-		CallOff: sending.Flag("call_off"), Tick: span(sending, "tick"), IdleKept: span(sending, "idle_kept"),
-		KeyRest: span(sending, "key_rest"), ListOnAsk: sending.Text("list") == "asked", AskWithin: span(sending, "ask_within"),
-		ListedError: listedErrors[sending.Text("listed_rates")],
+	decoded := rules.Settings{
+		Senders: sending.Int("senders"), Slots: sending.Int("slots"), HoldLimit: sending.Int("hold"),
+		TripLimit: sending.Int("trips"),
+		CallOff:   sending.Flag("call_off"), Tick: span(sending, "tick"), IdleKept: span(sending, "idle_kept"),
+		KeyRest: span(sending, "key_rest"), ListOnAsk: sending.Text("list") == "asked",
+		AskWithin:   span(sending, "ask_within"),
+		ListedError: listedRateErrors[sending.Text("listed_rates")],
 		WholeGoal:   goal.Number("whole"), WorstGoal: goal.Number("worst_grade"), OverShare: goal.Number("over_share"),
 		HalvesLate: goal.Text("late") == "by-halves",
 		RetryAfter: dismissal.Flag("retry_after"), RetryMost: span(dismissal, "retry_most"),
-		ColdFrom: back.Number("cold_from"), WarmWithin: span(back, "warm"), TipMultiple: back.Number("multiple"), Fall: span(back, "fall"),
+		ColdFrom: recovery.Number("cold_from"), WarmWithin: span(recovery, "warm"),
+		TipMultiple: recovery.Number("multiple"), Fall: span(recovery, "fall"),
 	}
 	names := settings.Names{ConnectTime: span(sending, "connect_time")}
 	if left, limit := report.Text("left"), report.Text("limit"); left != "" && limit != "" {
 		names.Report = []string{left, limit}
 	} else if left != limit {
-		f.Wrong(report, "left", "one field of the two is empty", "both names, or both empty")
+		file.Wrong(report, "left", "only one of left and limit is empty", "two field names, or both empty")
 	}
-	name := func(b *conf.Block, names *[]string) {
-		text := b.Text("name")
+	addName := func(block *conf.Block, names *[]string) {
+		text := block.Text("name")
 		for _, n := range *names {
 			if n == text {
-				f.Wrong(b, "name", fmt.Sprintf("%q stands twice", text), "a name of its own")
+				file.Wrong(block, "name", fmt.Sprintf("%q is used more than once", text), "a unique name")
 			}
 		}
-		if !plain(text) && b.Said("name") {
-			f.Wrong(b, "name", fmt.Sprintf("%q can't stand in a header", text), "up to 256 printable ASCII characters")
+		if !isHeaderValue(text) && block.IsSet("name") {
+			file.Wrong(block, "name", fmt.Sprintf("%q can't be sent in a header", text),
+				"1 to 256 printable ASCII characters")
 		}
 		*names = append(*names, text)
 	}
-	for _, b := range f.All("grade") {
-		name(b, &names.Grades)
-		g := rules.Grade{QuotedTime: span(b, "quoted"), ClientTimeout: span(b, "timeout"), Credit: b.Number("credit"),
-			LateShare: b.Number("late_share"), Repeat: repeats[b.Text("repeat")], ZoneOnly: b.Flag("zone_only"),
-			RemembersFor: span(b, "remembers"), InOrder: b.Flag("in_order")}
-		if b.Said("quoted") && b.Said("timeout") && g.ClientTimeout < g.QuotedTime {
-			f.Wrong(b, "timeout", "is before the quoted time", "at least "+conf.Show(conf.Span, float64(g.QuotedTime)))
+	for _, block := range file.All("grade") {
+		addName(block, &names.Grades)
+		grade := rules.Grade{QuotedTime: span(block, "quoted"), ClientTimeout: span(block, "timeout"),
+			Credit:    block.Number("credit"),
+			LateShare: block.Number("late_share"), Repeat: repeats[block.Text("repeat")],
+			ZoneOnly:     block.Flag("zone_only"),
+			RemembersFor: span(block, "remembers"), InOrder: block.Flag("in_order")}
+		if block.IsSet("quoted") && block.IsSet("timeout") && grade.ClientTimeout < grade.QuotedTime {
+			file.Wrong(block, "timeout", "is shorter than the quoted time",
+				"at least "+conf.Show(conf.Span, float64(grade.QuotedTime)))
 		}
-		if g.Repeat == rules.Numbered && g.RemembersFor == 0 {
-			f.Wrong(b, "remembers", "a numbered grade needs it", `a span such as "60s"`)
+		if grade.Repeat == rules.Numbered && grade.RemembersFor == 0 {
+			file.Wrong(block, "remembers", "is required for a numbered grade", `a span such as "60s"`)
 		}
-		if g.Repeat != rules.Numbered && (g.ZoneOnly || g.RemembersFor > 0) {
-			f.Wrong(b, "repeat", "zone_only and remembers are for numbered grades", "leave them out")
+		if grade.Repeat != rules.Numbered && (grade.ZoneOnly || grade.RemembersFor > 0) {
+			file.Wrong(block, "repeat", "zone_only and remembers apply only to numbered grades",
+				"numbered, or neither key")
 		}
-		s.Grades = append(s.Grades, g)
+		decoded.Grades = append(decoded.Grades, grade)
 	}
-	for _, b := range f.All("portfolio") {
-		name(b, &names.Portfolios)
-		s.Quotas = append(s.Quotas, b.Number("quota"))
+	for _, block := range file.All("portfolio") {
+		addName(block, &names.Portfolios)
+		decoded.Quotas = append(decoded.Quotas, block.Number("quota"))
 	}
-	for _, b := range f.All("kind") {
-		name(b, &names.Kinds)
-		s.Kinds = append(s.Kinds, rules.Kind{PerCall: 1, Apart: b.Flag("apart")})
+	for _, block := range file.All("kind") {
+		addName(block, &names.Kinds)
+		decoded.Kinds = append(decoded.Kinds, rules.Kind{PerCall: 1, Apart: block.Flag("apart")})
 	}
-	for _, b := range f.All("zone") {
-		name(b, &names.Zones)
-		s.ZoneFees = append(s.ZoneFees, b.Number("fee"))
+	for _, block := range file.All("zone") {
+		addName(block, &names.Zones)
+		decoded.ZoneFees = append(decoded.ZoneFees, block.Number("fee"))
 	}
-	return s, names
+	return decoded, names
 }
 
-func plain(s string) bool {
+// isHeaderValue reports whether clients can send a name in a header: 1 to 256 printable ASCII characters.
+func isHeaderValue(s string) bool {
 	return s != "" && len(s) <= 256 && !strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r > '~' })
 }
 
-// platform is the platform's form.
-type platform struct {
+// platformFile is the platform's JSON form of a configuration.
+type platformFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -184,93 +203,98 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// FromPlatform reads the platform's JSON. What only looks odd comes as faults, and the sender starts all the same.
+// FromPlatform reads the platform's JSON. The faults are values that make no sense but do not keep a sender from
+// starting.
 func FromPlatform(path string, text []byte, state string) (Config, conf.Faults, error) {
-	var file platform
-	c := Config{State: state, Format: "text", Level: "info"}
+	var file platformFile
+	config := Config{State: state, Format: "text", Level: "info"}
 	if err := json.Unmarshal(text, &file); err != nil {
-		return c, nil, fmt.Errorf("%s: %w", place(path, text, err), err)
+		return config, nil, fmt.Errorf("%s: %w", errorLocation(path, text, err), err)
 	}
 	if file.Listen == "" || file.Discovery == "" {
-		return c, nil, fmt.Errorf("%s: listen and discovery must be addresses", path)
+		return config, nil, fmt.Errorf("%s: listen or discovery is empty; each must be an address", path)
 	}
 	var err error
-	if c.Settings, c.Names, err = settings.Read(file.Settings); err != nil {
-		return c, nil, fmt.Errorf("%s: settings: %w", path, err)
+	if config.Settings, config.Names, err = settings.Read(file.Settings); err != nil {
+		return config, nil, fmt.Errorf("%s: settings: %w", path, err)
 	}
-	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return c, nil, fmt.Errorf("%s: seed: %w", path, err)
+	if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return config, nil, fmt.Errorf("%s: seed: %w", path, err)
 	}
-	c.Name, c.Listen, c.Discovery, c.Known, c.Machine = file.Name, file.Listen, file.Discovery, file.Known, file.Limits
-	return c, odd(path, text, file.Settings), nil
+	config.Name, config.Listen, config.Discovery, config.Known, config.Machine = file.Name, file.Listen, file.Discovery,
+		file.Known, file.Limits
+	return config, settingsWarnings(path, text, file.Settings), nil
 }
 
-// place names the line that a JSON error is at.
-func place(path string, text []byte, err error) string {
-	at := int64(-1)
+// errorLocation returns the path with the line of a JSON error, if the error has one.
+func errorLocation(path string, text []byte, err error) string {
+	offset := int64(-1)
 	switch e := err.(type) {
 	case *json.SyntaxError:
-		at = e.Offset
+		offset = e.Offset
 	case *json.UnmarshalTypeError:
-		at = e.Offset
+		offset = e.Offset
 	}
-	if at < 0 || at > int64(len(text)) {
+	if offset < 0 || offset > int64(len(text)) {
 		return path
 	}
-	return fmt.Sprintf("%s:%d", path, 1+strings.Count(string(text[:at]), "\n"))
+	return fmt.Sprintf("%s:%d", path, 1+strings.Count(string(text[:offset]), "\n"))
 }
 
-// odd finds values in the platform's settings that a sender reads but that make no sense.
-func odd(path string, text []byte, part json.RawMessage) conf.Faults {
+// settingsWarnings lists the values in the platform's settings that make no sense but do not keep a sender from
+// starting.
+func settingsWarnings(path string, text []byte, rawSettings json.RawMessage) conf.Faults {
 	var faults conf.Faults
-	lines := lines(text)
-	for _, o := range settings.Odd(part) {
-		key := "settings." + o.Key
-		faults = append(faults, conf.Fault{File: path, Line: lines[key], Key: key, What: o.What, Right: o.Right})
+	keyLines := linesOfKeys(text)
+	for _, warning := range settings.Warnings(rawSettings) {
+		key := "settings." + warning.Key
+		faults = append(faults, conf.Fault{File: path, Line: keyLines[key], Key: key,
+			Problem: warning.Problem, Expected: warning.Expected})
 	}
 	slices.SortStableFunc(faults, func(a, b conf.Fault) int { return a.Line - b.Line })
 	return faults
 }
 
-// lines finds the line of each key of a JSON text, by its path such as settings.classes.0.repeat.
-func lines(text []byte) map[string]int {
-	found, d := map[string]int{}, json.NewDecoder(strings.NewReader(string(text)))
+// linesOfKeys returns the line of each key of a JSON text, by its path such as settings.classes.0.repeat.
+func linesOfKeys(text []byte) map[string]int {
+	lines, decoder := map[string]int{}, json.NewDecoder(strings.NewReader(string(text)))
 	var walk func(path string) error
 	walk = func(path string) error {
-		token, err := d.Token()
+		token, err := decoder.Token()
 		if err != nil {
 			return err
 		}
 		delim, nested := token.(json.Delim)
-		for i := 0; nested && d.More(); i++ {
-			below := strconv.Itoa(i)
+		for i := 0; nested && decoder.More(); i++ {
+			child := strconv.Itoa(i)
 			if delim == '{' {
-				key, err := d.Token()
+				key, err := decoder.Token()
 				if err != nil {
 					return err
 				}
-				below = fmt.Sprint(key)
+				child = fmt.Sprint(key)
 			}
 			if path != "" {
-				below = path + "." + below
+				child = path + "." + child
 			}
-			found[below] = 1 + strings.Count(string(text[:d.InputOffset()]), "\n")
-			if err := walk(below); err != nil {
+			lines[child] = 1 + strings.Count(string(text[:decoder.InputOffset()]), "\n")
+			if err := walk(child); err != nil {
 				return err
 			}
 		}
 		if nested {
-			_, err = d.Token()
+			_, err = decoder.Token()
 		}
 		return err
 	}
 	walk("")
-	return found
+	return lines
 }
 
-// Platform writes the platform's JSON. What it has no word for (log, cores of the list's own) is left out.
+// Platform returns the configuration as the platform's JSON. The log settings and the state directory, which that form
+// does not have, are left out.
 func (c Config) Platform() ([]byte, error) {
-	part, err := settings.Write(c.Settings, c.Names)
+	rawSettings, err := settings.Write(c.Settings, c.Names)
 	if err != nil {
 		return nil, err
 	}
@@ -278,118 +302,119 @@
 	if known.Members == nil {
 		known.Members = []directory.Member{}
 	}
-	return json.MarshalIndent(platform{Name: c.Name, Listen: c.Listen, Discovery: c.Discovery,
-		Seed: strconv.FormatUint(c.Seed, 16), Limits: c.Machine, Known: known, Settings: part}, "", " ")
+	return json.MarshalIndent(platformFile{Name: c.Name, Listen: c.Listen, Discovery: c.Discovery,
+		Seed: strconv.FormatUint(c.Seed, 16), Limits: c.Machine, Known: known, Settings: rawSettings}, "", " ")
 }
 
-// TOML writes the configuration in our words, each key with its value.
+// TOML returns the configuration in TOML, with the value of every key.
 func (c Config) TOML() []byte {
-	var b strings.Builder
-	text := func(key, value string) { fmt.Fprintf(&b, "%s = %s\n", key, strconv.Quote(value)) }
-	bare := func(key string, value any) { fmt.Fprintf(&b, "%s = %v\n", key, value) }
-	num := func(key string, value float64) { bare(key, strconv.FormatFloat(value, 'f', -1, 64)) }
-	in := func(kind conf.Kind, key string, value float64) { text(key, conf.Show(kind, value)) }
-	span := func(key string, m rules.Millis) { in(conf.Span, key, float64(m)) }
-	head := func(name string) { fmt.Fprintf(&b, "\n%s\n", name) }
-	choice := func(of bool, yes, no string) string {
-		if of {
+	var out strings.Builder
+	writeText := func(key, value string) { fmt.Fprintf(&out, "%s = %s\n", key, strconv.Quote(value)) }
+	writeValue := func(key string, value any) { fmt.Fprintf(&out, "%s = %v\n", key, value) }
+	writeNumber := func(key string, value float64) { writeValue(key, strconv.FormatFloat(value, 'f', -1, 64)) }
+	writeKind := func(kind conf.Kind, key string, value float64) { writeText(key, conf.Show(kind, value)) }
+	writeSpan := func(key string, m rules.Millis) { writeKind(conf.Span, key, float64(m)) }
+	writeHeader := func(name string) { fmt.Fprintf(&out, "\n%s\n", name) }
+	choose := func(condition bool, yes, no string) string {
+		if condition {
 			return yes
 		}
 		return no
 	}
-	text("name", c.Name)
-	text("listen", c.Listen)
-	text("discovery", c.Discovery)
-	text("state", c.State)
+	writeText("name", c.Name)
+	writeText("listen", c.Listen)
+	writeText("discovery", c.Discovery)
+	writeText("state", c.State)
 	if !c.Drawn {
-		text("seed", strconv.FormatUint(c.Seed, 16))
+		writeText("seed", strconv.FormatUint(c.Seed, 16))
 	}
-	head("[log]")
-	text("format", c.Format)
-	text("level", c.Level)
-	head("[machine]")
-	text("memory", fmt.Sprintf("%dMiB", c.Machine.MemoryMB))
-	bare("sockets", c.Machine.Sockets)
-	in(conf.Size, "disk", math.Round(c.Machine.DiskMB*1e6))
-	num("cores", c.Machine.Cores)
-	s := c.Settings
-	head("[sending]")
-	bare("senders", s.Senders)
-	bare("slots", s.Slots)
-	bare("hold", s.HoldLimit)
-	bare("trips", s.TripLimit)
-	bare("call_off", s.CallOff)
-	span("tick", s.Tick)
-	span("idle_kept", s.IdleKept)
-	span("connect_time", c.Names.ConnectTime)
-	span("key_rest", s.KeyRest)
-	text("list", choice(s.ListOnAsk, "asked", "watched"))
-	span("ask_within", s.AskWithin)
-	text("listed_rates", choice(s.ListedError < 0, "none", choice(s.ListedError == 0, "nominal", "rough")))
-	head("[goal]")
-	num("whole", s.WholeGoal)
-	num("worst_grade", s.WorstGoal)
-	num("over_share", s.OverShare)
-	text("late", choice(s.HalvesLate, "by-halves", "evenly"))
-	head("[dismissal]")
-	bare("retry_after", s.RetryAfter)
-	span("retry_most", s.RetryMost)
-	head("[return]")
-	num("cold_from", s.ColdFrom)
-	span("warm", s.WarmWithin)
-	num("multiple", s.TipMultiple)
-	span("fall", s.Fall)
-	head("[report]")
-	text("left", settings.Name(c.Names.Report, 0))
-	text("limit", settings.Name(c.Names.Report, 1))
-	for i, g := range s.Grades {
-		head("[[grade]]")
-		text("name", c.Names.Grades[i])
-		span("quoted", g.QuotedTime)
-		span("timeout", g.ClientTimeout)
-		num("credit", g.Credit)
-		num("late_share", g.LateShare)
+	writeHeader("[log]")
+	writeText("format", c.Format)
+	writeText("level", c.Level)
+	writeHeader("[machine]")
+	writeText("memory", fmt.Sprintf("%dMiB", c.Machine.MemoryMB))
+	writeValue("sockets", c.Machine.Sockets)
+	writeKind(conf.Size, "disk", math.Round(c.Machine.DiskMB*1e6))
+	writeNumber("cores", c.Machine.Cores)
+	decisions := c.Settings
+	writeHeader("[sending]")
+	writeValue("senders", decisions.Senders)
+	writeValue("slots", decisions.Slots)
+	writeValue("hold", decisions.HoldLimit)
+	writeValue("trips", decisions.TripLimit)
+	writeValue("call_off", decisions.CallOff)
+	writeSpan("tick", decisions.Tick)
+	writeSpan("idle_kept", decisions.IdleKept)
+	writeSpan("connect_time", c.Names.ConnectTime)
+	writeSpan("key_rest", decisions.KeyRest)
+	writeText("list", choose(decisions.ListOnAsk, "asked", "watched"))
+	writeSpan("ask_within", decisions.AskWithin)
+	writeText("listed_rates",
+		choose(decisions.ListedError < 0, "none", choose(decisions.ListedError == 0, "nominal", "rough")))
+	writeHeader("[goal]")
+	writeNumber("whole", decisions.WholeGoal)
+	writeNumber("worst_grade", decisions.WorstGoal)
+	writeNumber("over_share", decisions.OverShare)
+	writeText("late", choose(decisions.HalvesLate, "by-halves", "evenly"))
+	writeHeader("[dismissal]")
+	writeValue("retry_after", decisions.RetryAfter)
+	writeSpan("retry_most", decisions.RetryMost)
+	writeHeader("[return]")
+	writeNumber("cold_from", decisions.ColdFrom)
+	writeSpan("warm", decisions.WarmWithin)
+	writeNumber("multiple", decisions.TipMultiple)
+	writeSpan("fall", decisions.Fall)
+	writeHeader("[report]")
+	writeText("left", settings.Name(c.Names.Report, 0))
+	writeText("limit", settings.Name(c.Names.Report, 1))
+	for i, grade := range decisions.Grades {
+		writeHeader("[[grade]]")
+		writeText("name", c.Names.Grades[i])
+		writeSpan("quoted", grade.QuotedTime)
+		writeSpan("timeout", grade.ClientTimeout)
+		writeNumber("credit", grade.Credit)
+		writeNumber("late_share", grade.LateShare)
 		for name, repeat := range repeats {
-			if repeat == g.Repeat {
-				text("repeat", name)
+			if repeat == grade.Repeat {
+				writeText("repeat", name)
 			}
 		}
-		if g.Repeat == rules.Numbered {
-			span("remembers", g.RemembersFor)
-			bare("zone_only", g.ZoneOnly)
+		if grade.Repeat == rules.Numbered {
+			writeSpan("remembers", grade.RemembersFor)
+			writeValue("zone_only", grade.ZoneOnly)
 		}
-		bare("in_order", g.InOrder)
+		writeValue("in_order", grade.InOrder)
 	}
-	for i, quota := range s.Quotas {
-		head("[[portfolio]]")
-		text("name", c.Names.Portfolios[i])
-		in(conf.Rate, "quota", quota)
+	for i, quota := range decisions.Quotas {
+		writeHeader("[[portfolio]]")
+		writeText("name", c.Names.Portfolios[i])
+		writeKind(conf.Rate, "quota", quota)
 	}
-	for i, k := range s.Kinds {
-		head("[[kind]]")
-		text("name", c.Names.Kinds[i])
-		bare("apart", k.Apart)
+	for i, kind := range decisions.Kinds {
+		writeHeader("[[kind]]")
+		writeText("name", c.Names.Kinds[i])
+		writeValue("apart", kind.Apart)
 	}
 	for i, zone := range c.Names.Zones {
-		head("[[zone]]")
-		text("name", zone)
-		if i < len(s.ZoneFees) {
-			num("fee", s.ZoneFees[i])
+		writeHeader("[[zone]]")
+		writeText("name", zone)
+		if i < len(decisions.ZoneFees) {
+			writeNumber("fee", decisions.ZoneFees[i])
 		}
 	}
-	for _, m := range c.Known.Members {
-		head("[[receiver]]")
-		text("id", m.ID)
-		text("address", m.HostPort)
-		bare("destination", m.Cell)
-		if m.Flavor != "" {
-			text("kind", m.Flavor)
+	for _, member := range c.Known.Members {
+		writeHeader("[[receiver]]")
+		writeText("id", member.ID)
+		writeText("address", member.HostPort)
+		writeValue("destination", member.Cell)
+		if member.Flavor != "" {
+			writeText("kind", member.Flavor)
 		}
-		if m.Locality != "" {
-			text("zone", m.Locality)
+		if member.Locality != "" {
+			writeText("zone", member.Locality)
 		}
-		in(conf.Rate, "rate", m.Size)
-		text("standing", m.Phase)
+		writeKind(conf.Rate, "rate", member.Size)
+		writeText("standing", member.Phase)
 	}
-	return []byte(b.String())
+	return []byte(out.String())
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-const whole = `
+// completeConfig sets keys of every section.
+const completeConfig = `
 name = "n0"
 listen = "127.0.0.1:8443"
 discovery = "127.0.0.1:8500"
@@ -61,40 +62,44 @@
 rate = "20/s"
 `
 
-// The two forms say the same where they overlap, and what is printed reads as what it was printed from.
+// TestConverts writes a configuration as TOML and as the platform's JSON: each must read back as the same
+// configuration.
 func TestConverts(t *testing.T) {
-	c, faults := FromTOML("f.toml", []byte(whole))
+	c, faults := FromTOML("f.toml", []byte(completeConfig))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	again, faults := FromTOML("printed.toml", c.TOML())
 	if diff := cmp.Diff(c, again); diff != "" || len(faults) > 0 {
-		t.Errorf("printed and read: %v\n%s", faults, diff)
+		t.Errorf("written and read back: %v\n%s", faults, diff)
 	}
 	text, err := c.Platform()
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, odd, err := FromPlatform("config.json", text, "state")
-	if err != nil || len(odd) > 0 {
-		t.Fatal(err, odd)
+	back, warnings, err := FromPlatform("config.json", text, "state")
+	if err != nil || len(warnings) > 0 {
+		t.Fatal(err, warnings)
 	}
 	if diff := cmp.Diff(c, back, cmpopts.IgnoreFields(Config{}, "Format")); diff != "" {
-		t.Errorf("through the platform's form:\n%s", diff)
+		t.Errorf("written as the platform's JSON and read back:\n%s", diff)
 	}
 }
 
-func TestTellsFaults(t *testing.T) {
+// TestReportsFaults reads faults that concern several keys, and values of the JSON form that make no sense: each must
+// be reported with its line and what was expected.
+func TestReportsFaults(t *testing.T) {
 	bad := strings.NewReplacer(`timeout = "12s"
 repeat = "reissuable"`, `timeout = "1s"
 repeat = "reissuable"
-zone_only = true`, `name = "order"`, `name = "note"`, `remembers = "60s"`, ``, `kind = "shop"`, `kind = "barn"`, `slots = 40`, `slots = -4`).Replace(whole)
+zone_only = true`, `name = "order"`, `name = "note"`, `remembers = "60s"`, ``, `kind = "shop"`, `kind = "barn"`,
+		`slots = 40`, `slots = -4`).Replace(completeConfig)
 	_, faults := FromTOML("f.toml", []byte(bad))
 	want := `f.toml:14: sending.slots: -4 is out of range; right would be a count such as 12, from 1 to 1000000
-f.toml:22: grade.timeout: is before the quoted time; right would be at least 1.5s
-f.toml:23: grade.repeat: zone_only and remembers are for numbered grades; right would be leave them out
-f.toml:25: grade.remembers: a numbered grade needs it; right would be a span such as "60s"
-f.toml:26: grade.name: "note" stands twice; right would be a name of its own
+f.toml:22: grade.timeout: is shorter than the quoted time; right would be at least 1.5s
+f.toml:23: grade.repeat: zone_only and remembers apply only to numbered grades; right would be numbered, or neither key
+f.toml:25: grade.remembers: is required for a numbered grade; right would be a span such as "60s"
+f.toml:26: grade.name: "note" is used more than once; right would be a unique name
 f.toml:47: receiver.kind: no [[kind]] has the name "barn"; right would be one of shop`
 	if diff := cmp.Diff(want, faults.Error()); diff != "" {
 		t.Errorf("-want +got:\n%s", diff)
@@ -104,13 +109,13 @@
 "obligations": {"fall": 1, "warm_within": 1, "tip_multiple": 2},
 "family_info": {"slots": -8},
 "classes": [{"name": "a", "aim": 5, "deadline": 5, "repeat": "sometimes"}]}}`
-	_, odd, err := FromPlatform("c.json", []byte(text), "state")
-	want = `c.json:4: settings.family_info.slots: no call can leave; right would be at least 1
-c.json:5: settings.classes.0.repeat: "sometimes" is unknown and taken for single_shot; right would be free, guarded or single_shot`
+	_, warnings, err := FromPlatform("c.json", []byte(text), "state")
+	want = `c.json:4: settings.family_info.slots: no call can be sent; right would be at least 1
+c.json:5: settings.classes.0.repeat: "sometimes" is unknown and treated as single_shot; right would be one of free, guarded, single_shot`
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(want, odd.Error()); diff != "" {
+	if diff := cmp.Diff(want, warnings.Error()); diff != "" {
 		t.Errorf("-want +got:\n%s", diff)
 	}
 	_, _, err = FromPlatform("c.json", []byte("{\n\"listen\": 5\n}"), "state")
@@ -119,7 +124,7 @@
 	}
 }
 
-// The pages of keys and events are made from the tables that the program uses.
+// TestPages checks that the pages of keys and log events match the tables that the program uses.
 func TestPages(t *testing.T) {
 	for path, made := range map[string]string{
 		"../../docs/configuration.md": Table.Page(), "../../docs/logs.md": logs.Page()} {
@@ -129,7 +134,7 @@
 		}
 		head, _, found := strings.Cut(string(text), "<!-- made by UPDATE=1 go test ./internal/config -->\n")
 		if !found {
-			t.Fatalf("%s has no place for its table", path)
+			t.Fatalf("%s has no marker line for its table", path)
 		}
 		want := head + "<!-- made by UPDATE=1 go test ./internal/config -->\n\n" + made
 		if os.Getenv("UPDATE") != "" {
@@ -137,14 +142,14 @@
 				t.Fatal(err)
 			}
 		} else if diff := cmp.Diff(want, string(text)); diff != "" {
-			t.Errorf("%s is out of date; UPDATE=1 go test ./internal/config\n%s", path, diff)
+			t.Errorf("%s is out of date; run UPDATE=1 go test ./internal/config\n%s", path, diff)
 		}
 	}
 }
 
-// Limits that the file leaves out are those that a sender takes by itself.
+// TestDefaults checks that the default limits of a TOML file are those of package limits.
 func TestDefaults(t *testing.T) {
-	c, _ := FromTOML("f.toml", []byte(whole))
+	c, _ := FromTOML("f.toml", []byte(completeConfig))
 	if diff := cmp.Diff(limits.Machine{MemoryMB: 64, Sockets: 1024, DiskMB: 5, Cores: 0.5}, c.Machine); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings decodes the settings that both programs are handed at start.
+// Package settings decodes and encodes the decision settings in the platform's JSON. The sender reads them from its
+// configuration file, and benchlink from the simulator's wire.
 package settings
 
 import (
@@ -9,28 +10,32 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// micros is a span as the settings write it.
-type micros float64
+// microseconds is a duration as the settings write it.
+type microseconds float64
 
-func (m micros) millis() rules.Millis { return rules.Millis(m) / 1000 }
+// millis converts to the unit of package rules.
+func (m microseconds) millis() rules.Millis { return rules.Millis(m) / 1000 }
 
+// class is a grade in the settings.
 type class struct {
-	Name       string  `json:"name"`
-	Aim        micros  `json:"aim"`
-	Deadline   micros  `json:"deadline"`
-	Worth      float64 `json:"worth"`
-	LateWorth  float64 `json:"late_worth"`
-	Repeat     string  `json:"repeat"`
-	KeyScope   string  `json:"key_scope"`
-	KeyTTL     micros  `json:"key_ttl"`
-	Sequential bool    `json:"sequential"`
+	Name       string       `json:"name"`
+	Aim        microseconds `json:"aim"`
+	Deadline   microseconds `json:"deadline"`
+	Worth      float64      `json:"worth"`
+	LateWorth  float64      `json:"late_worth"`
+	Repeat     string       `json:"repeat"`
+	KeyScope   string       `json:"key_scope"`
+	KeyTTL     microseconds `json:"key_ttl"`
+	Sequential bool         `json:"sequential"`
 }
 
+// realm is a portfolio in the settings.
 type realm struct {
 	Name      string  `json:"name"`
 	QuotaPerS float64 `json:"quota_per_s"`
 }
 
+// options is the JSON form of the settings. All durations are in microseconds.
 type options struct {
 	Classes   []class  `json:"classes"`
 	Kinds     []string `json:"kinds"`
@@ -48,47 +53,49 @@
 		Slots          int       `json:"slots"`
 	} `json:"family_info"`
 	Limits struct {
-		Cancel        bool   `json:"cancel"`
-		ConnIdle      micros `json:"conn_idle"`
-		ConnectTime   micros `json:"connect_timeout"`
-		MaxRetryAfter micros `json:"max_retry_after"`
-		OpenCap       int    `json:"open_cap"`
-		RetryAfter    bool   `json:"retry_after"`
-		SendCap       int    `json:"send_cap"`
+		Cancel        bool         `json:"cancel"`
+		ConnIdle      microseconds `json:"conn_idle"`
+		ConnectTime   microseconds `json:"connect_timeout"`
+		MaxRetryAfter microseconds `json:"max_retry_after"`
+		OpenCap       int          `json:"open_cap"`
+		RetryAfter    bool         `json:"retry_after"`
+		SendCap       int          `json:"send_cap"`
 	} `json:"limits"`
 	Obligations struct {
-		ColdFrom    float64 `json:"cold_from"`
-		Fall        micros  `json:"fall"`
-		KeyRest     micros  `json:"key_rest"`
-		MustAskIn   micros  `json:"must_ask_in"`
-		TipMultiple float64 `json:"tip_multiple"`
-		WarmWithin  micros  `json:"warm_within"`
+		ColdFrom    float64      `json:"cold_from"`
+		Fall        microseconds `json:"fall"`
+		KeyRest     microseconds `json:"key_rest"`
+		MustAskIn   microseconds `json:"must_ask_in"`
+		TipMultiple float64      `json:"tip_multiple"`
+		WarmWithin  microseconds `json:"warm_within"`
 	} `json:"obligations"`
 	OverShareWorth float64 `json:"over_share_worth"`
 	Realms         []realm `json:"realms"`
 	Reporting      struct {
 		Fields []string `json:"fields"`
 	} `json:"reporting"`
-	Zones        []string `json:"zones"`
-	Tick         micros   `json:"tick"`
-	WeightSource string   `json:"weight_source"`
+	Zones        []string     `json:"zones"`
+	Tick         microseconds `json:"tick"`
+	WeightSource string       `json:"weight_source"`
 }
 
+// repeats maps the settings' names for how a notice may be repeated.
 var repeats = map[string]rules.Repeat{
 	"free": rules.Reissuable, "guarded": rules.Numbered, "single_shot": rules.AtMostOnce,
 }
 
-// listedErrors is how far a listed rate may be too high, by source.
-var listedErrors = map[string]float64{"nominal": 0, "rough": 0.5}
+// listedRateErrors is how far a listed rate may be too high, as a share of the true one, by weight_source.
+var listedRateErrors = map[string]float64{"nominal": 0, "rough": 0.5}
 
-// Names is what the settings call things that the decisions know by number, and what only sockets need.
+// Names holds the names that the settings give to what package rules knows by index, and the settings that only the
+// socket code needs.
 type Names struct {
 	Grades, Portfolios, Kinds, Zones []string
-	Report                           []string // the values of a report, in the order the decisions read them
+	Report                           []string // the fields of a load report, in the order that package rules reads them
 	ConnectTime                      rules.Millis
 }
 
-// Index is a name's place among names; one that is not there comes behind all.
+// Index returns the index of a name, or len(names) if it is not among them.
 func Index(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
@@ -96,7 +103,7 @@
 	return len(names)
 }
 
-// Name is the name at a place, or empty.
+// Name returns the name at an index, or an empty text beyond the last.
 func Name(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
@@ -104,44 +111,44 @@
 	return ""
 }
 
-// Read decodes the settings.
+// Read decodes settings from the platform's JSON. Unknown fields are ignored.
 func Read(text []byte) (rules.Settings, Names, error) {
-	var o options
-	if err := json.Unmarshal(text, &o); err != nil {
+	var opts options
+	if err := json.Unmarshal(text, &opts); err != nil {
 		return rules.Settings{}, Names{}, err
 	}
-	names := Names{Kinds: o.Kinds, Zones: o.Zones, Report: o.Reporting.Fields,
-		ConnectTime: o.Limits.ConnectTime.millis()}
-	s := rules.Settings{
-		ZoneFees:    o.FamilyInfo.FeeByZone,
-		Senders:     o.GroupSize,
-		Slots:       o.FamilyInfo.Slots,
-		HoldLimit:   o.Limits.OpenCap,
-		TripLimit:   o.Limits.SendCap,
-		CallOff:     o.Limits.Cancel,
-		Tick:        o.Tick.millis(),
-		OverShare:   o.OverShareWorth,
-		WholeGoal:   o.Goal.Whole,
-		WorstGoal:   o.Goal.WorstClass,
-		HalvesLate:  o.FamilyInfo.LosesWorth == "by_half",
-		RetryAfter:  o.Limits.RetryAfter,
-		RetryMost:   o.Limits.MaxRetryAfter.millis(),
-		ListOnAsk:   o.Discovery == "subscribe",
-		AskWithin:   o.Obligations.MustAskIn.millis(),
+	names := Names{Kinds: opts.Kinds, Zones: opts.Zones, Report: opts.Reporting.Fields,
+		ConnectTime: opts.Limits.ConnectTime.millis()}
+	decoded := rules.Settings{
+		ZoneFees:    opts.FamilyInfo.FeeByZone,
+		Senders:     opts.GroupSize,
+		Slots:       opts.FamilyInfo.Slots,
+		HoldLimit:   opts.Limits.OpenCap,
+		TripLimit:   opts.Limits.SendCap,
+		CallOff:     opts.Limits.Cancel,
+		Tick:        opts.Tick.millis(),
+		OverShare:   opts.OverShareWorth,
+		WholeGoal:   opts.Goal.Whole,
+		WorstGoal:   opts.Goal.WorstClass,
+		HalvesLate:  opts.FamilyInfo.LosesWorth == "by_half",
+		RetryAfter:  opts.Limits.RetryAfter,
+		RetryMost:   opts.Limits.MaxRetryAfter.millis(),
+		ListOnAsk:   opts.Discovery == "subscribe",
+		AskWithin:   opts.Obligations.MustAskIn.millis(),
 		ListedError: -1,
-		ColdFrom:    o.Obligations.ColdFrom,
-		WarmWithin:  o.Obligations.WarmWithin.millis(),
-		TipMultiple: o.Obligations.TipMultiple,
-		Fall:        o.Obligations.Fall.millis(),
-		KeyRest:     o.Obligations.KeyRest.millis(),
-		IdleKept:    o.Limits.ConnIdle.millis(),
+		ColdFrom:    opts.Obligations.ColdFrom,
+		WarmWithin:  opts.Obligations.WarmWithin.millis(),
+		TipMultiple: opts.Obligations.TipMultiple,
+		Fall:        opts.Obligations.Fall.millis(),
+		KeyRest:     opts.Obligations.KeyRest.millis(),
+		IdleKept:    opts.Limits.ConnIdle.millis(),
 	}
-	if e, listed := listedErrors[o.WeightSource]; listed {
-		s.ListedError = e
+	if rateError, listed := listedRateErrors[opts.WeightSource]; listed {
+		decoded.ListedError = rateError
 	}
-	for _, c := range o.Classes {
+	for _, c := range opts.Classes {
 		names.Grades = append(names.Grades, c.Name)
-		s.Grades = append(s.Grades, rules.Grade{
+		decoded.Grades = append(decoded.Grades, rules.Grade{
 			QuotedTime:    c.Aim.millis(),
 			ClientTimeout: c.Deadline.millis(),
 			Credit:        c.Worth,
@@ -152,109 +159,115 @@
 			InOrder:       c.Sequential,
 		})
 	}
-	for i := range o.Kinds {
-		k := rules.Kind{PerCall: 1}
-		if i < len(o.FamilyInfo.PerCall) {
-			k.PerCall = o.FamilyInfo.PerCall[i]
+	for i := range opts.Kinds {
+		kind := rules.Kind{PerCall: 1}
+		if i < len(opts.FamilyInfo.PerCall) {
+			kind.PerCall = opts.FamilyInfo.PerCall[i]
 		}
-		k.Apart = i < len(o.FamilyInfo.SeparateRoutes) && o.FamilyInfo.SeparateRoutes[i]
-		s.Kinds = append(s.Kinds, k)
+		kind.Apart = i < len(opts.FamilyInfo.SeparateRoutes) && opts.FamilyInfo.SeparateRoutes[i]
+		decoded.Kinds = append(decoded.Kinds, kind)
 	}
-	for _, r := range o.Realms {
+	for _, r := range opts.Realms {
 		names.Portfolios = append(names.Portfolios, r.Name)
-		s.Quotas = append(s.Quotas, r.QuotaPerS)
+		decoded.Quotas = append(decoded.Quotas, r.QuotaPerS)
 	}
-	return s, names, nil
+	return decoded, names, nil
 }
 
-// Oddity is a value in the settings that is read, and makes no sense.
-type Oddity struct{ Key, What, Right string }
+// Warning reports a value in the settings that makes no sense but can be read: what was found and what was expected.
+type Warning struct{ Key, Problem, Expected string }
 
-// Odd looks for values that make no sense. A sender starts with them all the same: an unknown repeat is taken for
-// at-most-once, the safest.
-func Odd(text []byte) []Oddity {
-	var o options
-	if json.Unmarshal(text, &o) != nil {
-		return nil // Read tells why
+// Warnings lists the values that make no sense. A sender starts in spite of them: an unknown repeat is treated as
+// at-most-once, which is the safest.
+func Warnings(text []byte) []Warning {
+	var opts options
+	if json.Unmarshal(text, &opts) != nil {
+		return nil // Read returns the error
 	}
-	var odd []Oddity
-	say := func(bad bool, right, what, key string, at ...any) {
+	var warnings []Warning
+	warnIf := func(bad bool, expected, problem, key string, indexes ...any) {
 		if bad {
-			odd = append(odd, Oddity{fmt.Sprintf(key, at...), what, right})
+			warnings = append(warnings, Warning{fmt.Sprintf(key, indexes...), problem, expected})
 		}
 	}
 	seen := map[string]bool{}
-	say(len(o.Classes) == 0, "one at least", "there are none", "classes")
-	for i, c := range o.Classes {
+	warnIf(len(opts.Classes) == 0, "at least one", "there are none", "classes")
+	for i, c := range opts.Classes {
 		_, known := repeats[c.Repeat]
-		say(!known, "free, guarded or single_shot", fmt.Sprintf("%q is unknown and taken for single_shot", c.Repeat), "classes.%d.repeat", i)
-		say(c.Aim <= 0, "a span above 0", "is no span", "classes.%d.aim", i)
-		say(c.Deadline < c.Aim, "not before aim", "is before aim", "classes.%d.deadline", i)
-		say(c.Worth < 0, "at least 0", "is negative", "classes.%d.worth", i)
-		say(c.LateWorth < 0 || c.LateWorth > 1, "from 0 to 1", "is no share", "classes.%d.late_worth", i)
-		say(c.Name == "" || seen[c.Name], "a name of its own", "is empty or stands twice", "classes.%d.name", i)
+		warnIf(!known, "one of free, guarded, single_shot",
+			fmt.Sprintf("%q is unknown and treated as single_shot", c.Repeat), "classes.%d.repeat", i)
+		warnIf(c.Aim <= 0, "a time above 0", "is not above 0", "classes.%d.aim", i)
+		warnIf(c.Deadline < c.Aim, "at least aim", "is less than aim", "classes.%d.deadline", i)
+		warnIf(c.Worth < 0, "at least 0", "is negative", "classes.%d.worth", i)
+		warnIf(c.LateWorth < 0 || c.LateWorth > 1, "from 0 to 1", "is not from 0 to 1", "classes.%d.late_worth", i)
+		warnIf(c.Name == "" || seen[c.Name], "a unique name", "is empty or used more than once", "classes.%d.name", i)
 		seen[c.Name] = true
 	}
-	for i, r := range o.Realms {
-		say(r.QuotaPerS < 0, "at least 0", "is negative", "realms.%d.quota_per_s", i)
+	for i, r := range opts.Realms {
+		warnIf(r.QuotaPerS < 0, "at least 0", "is negative", "realms.%d.quota_per_s", i)
 	}
-	say(o.FamilyInfo.Slots < 1, "at least 1", "no call can leave", "family_info.slots")
-	say(o.Limits.SendCap < 1, "at least 1", "no call can leave", "limits.send_cap")
-	say(o.Limits.OpenCap < 0, "at least 0", "is negative", "limits.open_cap")
-	say(o.Limits.ConnIdle <= 0, "a span above 0", "is no span", "limits.conn_idle")
-	say(o.Tick <= 0, "a span above 0", "is no span", "tick")
-	say(o.Obligations.Fall <= 0, "a span above 0", "is no span", "obligations.fall")
-	say(o.Obligations.WarmWithin <= 0, "a span above 0", "is no span", "obligations.warm_within")
-	say(o.Obligations.TipMultiple <= 0, "above 0", "is not above 0", "obligations.tip_multiple")
-	say(o.Obligations.ColdFrom < 0 || o.Obligations.ColdFrom > 1, "from 0 to 1", "is no share", "obligations.cold_from")
-	say(o.GroupSize < 1, "at least 1", "there is no sender", "group_size")
-	return odd
+	warnIf(opts.FamilyInfo.Slots < 1, "at least 1", "no call can be sent", "family_info.slots")
+	warnIf(opts.Limits.SendCap < 1, "at least 1", "no call can be sent", "limits.send_cap")
+	warnIf(opts.Limits.OpenCap < 0, "at least 0", "is negative", "limits.open_cap")
+	warnIf(opts.Limits.ConnIdle <= 0, "a time above 0", "is not above 0", "limits.conn_idle")
+	warnIf(opts.Tick <= 0, "a time above 0", "is not above 0", "tick")
+	warnIf(opts.Obligations.Fall <= 0, "a time above 0", "is not above 0", "obligations.fall")
+	warnIf(opts.Obligations.WarmWithin <= 0, "a time above 0", "is not above 0", "obligations.warm_within")
+	warnIf(opts.Obligations.TipMultiple <= 0, "above 0", "is not above 0", "obligations.tip_multiple")
+	warnIf(opts.Obligations.ColdFrom < 0 || opts.Obligations.ColdFrom > 1, "from 0 to 1", "is not from 0 to 1",
+		"obligations.cold_from")
+	warnIf(opts.GroupSize < 1, "at least 1", "is below 1", "group_size")
+	return warnings
 }
 
-// Write writes settings in the platform's form; Read reads the same from it.
-func Write(s rules.Settings, names Names) ([]byte, error) {
-	var o options
-	us := func(m rules.Millis) micros { return micros(m * 1000) }
-	for i, g := range s.Grades {
-		c := class{Name: Name(names.Grades, i), Aim: us(g.QuotedTime), Deadline: us(g.ClientTimeout), Worth: g.Credit,
-			LateWorth: g.LateShare, KeyTTL: us(g.RemembersFor), Sequential: g.InOrder, KeyScope: "all"}
+// Write encodes settings as the platform's JSON, from which Read decodes the same settings.
+func Write(from rules.Settings, names Names) ([]byte, error) {
+	var opts options
+	toMicros := func(m rules.Millis) microseconds { return microseconds(m * 1000) }
+	for i, grade := range from.Grades {
+		c := class{Name: Name(names.Grades, i),
+			Aim: toMicros(grade.QuotedTime), Deadline: toMicros(grade.ClientTimeout),
+			Worth: grade.Credit, LateWorth: grade.LateShare, KeyTTL: toMicros(grade.RemembersFor),
+			Sequential: grade.InOrder, KeyScope: "all"}
 		for name, repeat := range repeats {
-			if repeat == g.Repeat {
+			if repeat == grade.Repeat {
 				c.Repeat = name
 			}
 		}
-		if g.ZoneOnly {
+		if grade.ZoneOnly {
 			c.KeyScope = "zone"
 		}
-		o.Classes = append(o.Classes, c)
+		opts.Classes = append(opts.Classes, c)
 	}
-	o.Kinds, o.Zones, o.Reporting.Fields = names.Kinds, names.Zones, names.Report
-	for _, k := range s.Kinds {
-		o.FamilyInfo.PerCall = append(o.FamilyInfo.PerCall, k.PerCall)
-		o.FamilyInfo.SeparateRoutes = append(o.FamilyInfo.SeparateRoutes, k.Apart)
+	opts.Kinds, opts.Zones, opts.Reporting.Fields = names.Kinds, names.Zones, names.Report
+	for _, kind := range from.Kinds {
+		opts.FamilyInfo.PerCall = append(opts.FamilyInfo.PerCall, kind.PerCall)
+		opts.FamilyInfo.SeparateRoutes = append(opts.FamilyInfo.SeparateRoutes, kind.Apart)
 	}
-	for i, quota := range s.Quotas {
-		o.Realms = append(o.Realms, realm{Name(names.Portfolios, i), quota})
+	for i, quota := range from.Quotas {
+		opts.Realms = append(opts.Realms, realm{Name(names.Portfolios, i), quota})
 	}
-	o.Discovery, o.WeightSource, o.FamilyInfo.LosesWorth = "automatic", "none", "even"
-	if s.ListOnAsk {
-		o.Discovery = "subscribe"
+	opts.Discovery, opts.WeightSource, opts.FamilyInfo.LosesWorth = "automatic", "none", "even"
+	if from.ListOnAsk {
+		opts.Discovery = "subscribe"
 	}
-	if s.HalvesLate {
-		o.FamilyInfo.LosesWorth = "by_half"
+	if from.HalvesLate {
+		opts.FamilyInfo.LosesWorth = "by_half"
 	}
-	for name, e := range listedErrors {
-		if e == s.ListedError {
-			o.WeightSource = name
+	for name, rateError := range listedRateErrors {
+		if rateError == from.ListedError {
+			opts.WeightSource = name
 		}
 	}
-	o.FamilyInfo.FeeByZone, o.FamilyInfo.Slots, o.GroupSize = s.ZoneFees, s.Slots, s.Senders
-	o.Limits.OpenCap, o.Limits.SendCap, o.Limits.Cancel = s.HoldLimit, s.TripLimit, s.CallOff
-	o.Limits.ConnIdle, o.Limits.ConnectTime = us(s.IdleKept), us(names.ConnectTime)
-	o.Limits.RetryAfter, o.Limits.MaxRetryAfter = s.RetryAfter, us(s.RetryMost)
-	o.Goal.Whole, o.Goal.WorstClass, o.OverShareWorth, o.Tick = s.WholeGoal, s.WorstGoal, s.OverShare, us(s.Tick)
-	o.Obligations.ColdFrom, o.Obligations.TipMultiple = s.ColdFrom, s.TipMultiple
-	o.Obligations.Fall, o.Obligations.KeyRest, o.Obligations.WarmWithin = us(s.Fall), us(s.KeyRest), us(s.WarmWithin)
-	o.Obligations.MustAskIn = us(s.AskWithin)
-	return json.Marshal(o)
+	opts.FamilyInfo.FeeByZone, opts.FamilyInfo.Slots, opts.GroupSize = from.ZoneFees, from.Slots, from.Senders
+	opts.Limits.OpenCap, opts.Limits.SendCap, opts.Limits.Cancel = from.HoldLimit, from.TripLimit, from.CallOff
+	opts.Limits.ConnIdle, opts.Limits.ConnectTime = toMicros(from.IdleKept), toMicros(names.ConnectTime)
+	opts.Limits.RetryAfter, opts.Limits.MaxRetryAfter = from.RetryAfter, toMicros(from.RetryMost)
+	opts.Goal.Whole, opts.Goal.WorstClass, opts.OverShareWorth, opts.Tick =
+		from.WholeGoal, from.WorstGoal, from.OverShare, toMicros(from.Tick)
+	opts.Obligations.ColdFrom, opts.Obligations.TipMultiple = from.ColdFrom, from.TipMultiple
+	opts.Obligations.Fall, opts.Obligations.KeyRest, opts.Obligations.WarmWithin =
+		toMicros(from.Fall), toMicros(from.KeyRest), toMicros(from.WarmWithin)
+	opts.Obligations.MustAskIn = toMicros(from.AskWithin)
+	return json.Marshal(opts)
 }
