--- a/internal/conf/read.go
+++ b/internal/conf/read.go
@@ -149,8 +149,8 @@
 	return b
 }
 
-// openSection returns the block that a section header opens. If the header is invalid, it records a fault and skipping
-// is true: the keys up to the next header belong to no section.
+// openSection returns the block that a section header opens. If the header is invalid, it records a fault and
+// returns skipping as true: the keys up to the next header are skipped.
 func (f *File) openSection(path string, line int, isArray bool) (b *Block, prefix string, skipping bool) {
 	section := f.table.section(path)
 	reject := func(problem, expected string) (*Block, string, bool) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -108,6 +108,7 @@
 }
 
 var (
+	// repeats maps the choices of the key repeat.
 	repeats = map[string]rules.Repeat{
 		"at-most-once": rules.AtMostOnce, "numbered": rules.Numbered, "reissuable": rules.Reissuable,
 	}
@@ -121,13 +122,12 @@
 		file.One("return"), file.One("report")
 	span := func(b *conf.Block, key string) rules.Millis { return rules.Millis(b.Number(key)) }
 	decoded := rules.Settings{
-		Senders: sending.Int("senders"), Slots: sending.Int("slots"), HoldLimit: sending.Int("hold"),
-		TripLimit: sending.Int("trips"),
-		CallOff:   sending.Flag("call_off"), Tick: span(sending, "tick"), IdleKept: span(sending, "idle_kept"),
+		Senders: sending.Int("senders"), Slots: sending.Int("slots"),
+		HoldLimit: sending.Int("hold"), TripLimit: sending.Int("trips"),
+		CallOff: sending.Flag("call_off"), Tick: span(sending, "tick"), IdleKept: span(sending, "idle_kept"),
 		KeyRest: span(sending, "key_rest"), ListOnAsk: sending.Text("list") == "asked",
-		AskWithin:   span(sending, "ask_within"),
-		ListedError: listedRateErrors[sending.Text("listed_rates")],
-		WholeGoal:   goal.Number("whole"), WorstGoal: goal.Number("worst_grade"), OverShare: goal.Number("over_share"),
+		AskWithin: span(sending, "ask_within"), ListedError: listedRateErrors[sending.Text("listed_rates")],
+		WholeGoal: goal.Number("whole"), WorstGoal: goal.Number("worst_grade"), OverShare: goal.Number("over_share"),
 		HalvesLate: goal.Text("late") == "by-halves",
 		RetryAfter: dismissal.Flag("retry_after"), RetryMost: span(dismissal, "retry_most"),
 		ColdFrom: recovery.Number("cold_from"), WarmWithin: span(recovery, "warm"),
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -38,7 +38,7 @@
 		{Name: "over_share", Kind: conf.Share, Default: "0.2",
 			Doc: "share at which credit beyond a portfolio's quota counts"},
 		{Name: "late", Kind: conf.Choice, Default: `"evenly"`, Choices: []string{"evenly", "by-halves"},
-			Doc: "how credit falls after the quoted time: evenly to the client timeout, or by half per quoted time"},
+			Doc: "credit after the quoted time falls evenly to the client timeout, or by half per further quoted time"},
 	}},
 	{Name: "dismissal", Doc: "What the response to a dismissed notice contains.", Keys: []conf.Key{
 		{Name: "retry_after", Kind: conf.Flag, Default: "true",
@@ -60,7 +60,7 @@
 			Doc: "the quoted time: a notice that is handled by then earns full credit"},
 		{Name: "timeout", Kind: conf.Span, Required: true, Min: 1, Max: 86_400_000,
 			Doc: "the client timeout; at least the quoted time"},
-		{Name: "credit", Kind: conf.Number, Default: "1", Max: 1e9, Doc: "what a notice earns that is handled in time"},
+		{Name: "credit", Kind: conf.Number, Default: "1", Max: 1e9, Doc: "credit of a notice that is handled in time"},
 		{Name: "late_share", Kind: conf.Share, Default: "0.5",
 			Doc: "share of the credit that remains at the client timeout"},
 		{Name: "repeat", Kind: conf.Choice, Required: true, Choices: []string{"at-most-once", "numbered", "reissuable"},
