--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink lets the decisions run on the bench's wire, over standard input and output.
+// Command benchlink connects the decision module to the simulator: it reads batches of events from standard input and
+// writes the actions to standard output.
 package main
 
 import (
@@ -18,10 +19,11 @@
 	}
 }
 
+// run answers each batch until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := benchwire.NewReader(bufio.NewReaderSize(in, 1<<16))
 	writer := benchwire.NewWriter(out)
-	host := host{senders: map[benchwire.Instance]*rules.Sender{}}
+	senders := senderSet{senders: map[benchwire.Instance]*rules.Sender{}}
 	for {
 		batch, err := reader.Next()
 		if err == io.EOF {
@@ -30,8 +32,8 @@
 		if err != nil {
 			return err
 		}
-		for _, turn := range host.turns(batch.Records) {
-			if err := writer.Add(turn.who, turn.sender.Decide(batch.Now, turn.events)); err != nil {
+		for _, group := range senders.groupByInstance(batch.Records) {
+			if err := writer.Add(group.instance, group.sender.Decide(batch.Now, group.events)); err != nil {
 				return err
 			}
 		}
@@ -41,43 +43,44 @@
 	}
 }
 
-// host keeps one sender for each instance; the senders share nothing.
-type host struct {
+// senderSet holds the sender of each instance. The senders share no state.
+type senderSet struct {
 	senders map[benchwire.Instance]*rules.Sender
 }
 
-// turn is what one instance has to answer in a batch.
-type turn struct {
-	who    benchwire.Instance
-	sender *rules.Sender
-	events []rules.Event
+// instanceEvents is the part of a batch that concerns one instance.
+type instanceEvents struct {
+	instance benchwire.Instance
+	sender   *rules.Sender
+	events   []rules.Event
 }
 
-// turns sorts a batch by instance, in order of first mention. What came before a Destroyed dies with it.
-func (h *host) turns(records []benchwire.Record) []*turn {
-	var turns []*turn
-	open := map[benchwire.Instance]*turn{}
-	for _, rec := range records {
-		t := open[rec.Instance]
-		if t == nil {
-			t = &turn{who: rec.Instance, sender: h.senders[rec.Instance]}
-			open[rec.Instance] = t
-			turns = append(turns, t)
+// groupByInstance groups a batch's records by instance, in the order of their first record. It creates and removes
+// senders; the events before a Destroyed are dropped with their sender.
+func (s *senderSet) groupByInstance(records []benchwire.Record) []*instanceEvents {
+	var groups []*instanceEvents
+	byInstance := map[benchwire.Instance]*instanceEvents{}
+	for _, record := range records {
+		group := byInstance[record.Instance]
+		if group == nil {
+			group = &instanceEvents{instance: record.Instance, sender: s.senders[record.Instance]}
+			byInstance[record.Instance] = group
+			groups = append(groups, group)
 		}
-		switch what := rec.What.(type) {
+		switch content := record.Content.(type) {
 		case benchwire.Created:
-			t.sender, t.events = rules.New(what.Seed, what.Settings), nil
+			group.sender, group.events = rules.New(content.Seed, content.Settings), nil
 		case benchwire.Destroyed:
-			t.sender, t.events = nil, nil
+			group.sender, group.events = nil, nil
 		case rules.Event:
-			t.events = append(t.events, what)
+			group.events = append(group.events, content)
 		}
-		h.senders[rec.Instance] = t.sender
+		s.senders[record.Instance] = group.sender
 	}
-	live := turns[:0]
-	for _, t := range turns {
-		if t.sender != nil {
-			live = append(live, t)
+	live := groups[:0]
+	for _, group := range groups {
+		if group.sender != nil {
+			live = append(live, group)
 		}
 	}
 	return live
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -15,7 +15,7 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// frame builds a batch of records, each a code and its fields in hex.
+// frame encodes a batch of records, each given as a code and its fields in hex.
 func frame(number uint32, records ...string) []byte {
 	var body []byte
 	for _, r := range records {
@@ -30,37 +30,40 @@
 		body = binary.LittleEndian.AppendUint32(body, uint32(len(b)))
 		body = append(body, b...)
 	}
-	head := make([]byte, headerSize)
-	binary.LittleEndian.PutUint32(head[0:], number)
-	binary.LittleEndian.PutUint32(head[4:], uint32(len(body)))
-	binary.LittleEndian.PutUint64(head[8:], 8_412_250)
-	binary.LittleEndian.PutUint32(head[16:], uint32(len(records)))
-	return append(head, body...)
+	header := make([]byte, headerSize)
+	binary.LittleEndian.PutUint32(header[0:], number)
+	binary.LittleEndian.PutUint32(header[4:], uint32(len(body)))
+	binary.LittleEndian.PutUint64(header[8:], 8_412_250)
+	binary.LittleEndian.PutUint32(header[16:], uint32(len(records)))
+	return append(header, body...)
 }
 
+// Records in hex: two versions of list 5, the update that refers to it, a verdict and a submitted notice.
 const (
 	oneEntry   = "1080 05 01000000 0a000000 01 0200 0300 01 00002041 0000000000000000"
 	otherEntry = "1080 05 01000000 0b000000 00 0200 0300 02 00002041 0000000000000000"
-	told       = "1000 0100 04 29000000 05"
+	listUpdate = "1000 0100 04 29000000 05"
 	verdict    = "1050 0100 07000000 2c010000 a0860100 0b 00 01 0a000000 02 0000003f 0000a040"
 	submit     = "1070 0100 07000000 0200 01000000 0900000000000000 40420f00 00000000 00004040 10"
 )
 
+// TestRead decodes a batch with records of most kinds, one with an unknown code, and a list that is sent twice.
 func TestRead(t *testing.T) {
 	entry := rules.Entry{Receiver: 10, Destination: 3, Kind: 2, Zone: 1, Standing: rules.Ready, ListedRate: 10}
 	other := rules.Entry{Receiver: 11, Destination: 3, Kind: 2, Standing: rules.Draining, ListedRate: 10}
-	in := frame(12, oneEntry, told, otherEntry, told, "4711 ffff", "1030 0100 00000000000000000000000000",
+	in := frame(12, oneEntry, listUpdate, otherEntry, listUpdate, "4711 ffff", "1030 0100 00000000000000000000000000",
 		submit, verdict, "1060 0100 4d00000000000000", "1040 0100 07000000", "1000 0100 00 00000000 00", "1090 0100")
 	reader := NewReader(bytes.NewReader(in))
 	got, err := reader.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	record := func(what any) Record { return Record{1, what} }
+	record := func(content any) Record { return Record{1, content} }
 	want := Batch{Number: 12, Now: 8412.25, Records: []Record{
 		record(rules.ListTold{Whole: true, Entries: []rules.Entry{entry}}),
 		record(rules.ListTold{Whole: true, Entries: []rules.Entry{other}}),
-		record(rules.NoticeTaken{Notice: 7, Grade: 2, Portfolio: 1, Key: 9, Destination: 3, Left: 1000, Inherited: true}),
+		record(rules.NoticeTaken{Notice: 7, Grade: 2, Portfolio: 1, Key: 9, Destination: 3,
+			Left: 1000, Inherited: true}),
 		record(rules.TripEnded{Notice: 7, Receiver: 10, Result: rules.Full, Spent: 100, Wait: 300,
 			LimitTold: true, LimitLeft: 0.5, LimitRate: 5}),
 		record(rules.TimerDue{Timer: 77}),
@@ -76,22 +79,27 @@
 	}
 }
 
+// TestReadSettings decodes the simulator's settings; unknown fields are ignored.
 func TestReadSettings(t *testing.T) {
-	got, _, err := settings.Read([]byte(`{"classes": [{"aim": 2000000, "deadline": 16000000, "worth": 3, "late_worth": 0.3,
+	got, _, err := settings.Read([]byte(`{
+		"classes": [{"aim": 2000000, "deadline": 16000000, "worth": 3, "late_worth": 0.3,
 		"repeat": "guarded", "key_scope": "zone", "key_ttl": 5000000, "sequential": true, "unheard_of": [1]}],
 		"kinds": ["a", "b"], "discovery": "subscribe", "group_size": 2, "goal": {"whole": 0.45, "worst_class": 0.2},
 		"family_info": {"fee_by_zone": [0, 0.03], "loses_worth": "by_half", "per_call": [5], "separate_routes": [true],
-		"slots": 11}, "limits": {"cancel": true, "conn_idle": 15000000, "max_retry_after": 3000000, "open_cap": 241, "retry_after": true,
-		"send_cap": 12}, "obligations": {"cold_from": 0.16, "fall": 2000000, "key_rest": 300000, "must_ask_in": 10000000,
+		"slots": 11}, "limits": {"cancel": true, "conn_idle": 15000000, "max_retry_after": 3000000, "open_cap": 241,
+		"retry_after": true,
+		"send_cap": 12}, "obligations": {
+		"cold_from": 0.16, "fall": 2000000, "key_rest": 300000, "must_ask_in": 10000000,
 		"tip_multiple": 2, "warm_within": 10000000}, "over_share_worth": 0.2, "realms": [{"quota_per_s": 19}],
 		"tick": 5000, "weight_source": "rough"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := rules.Settings{
-		Grades: []rules.Grade{{QuotedTime: 2000, ClientTimeout: 16_000, Credit: 3, LateShare: 0.3, Repeat: rules.Numbered,
-			ZoneOnly: true, RemembersFor: 5000, InOrder: true}},
-		Kinds: []rules.Kind{{PerCall: 5, Apart: true}, {PerCall: 1}}, Quotas: []float64{19}, ZoneFees: []float64{0, 0.03},
+		Grades: []rules.Grade{{QuotedTime: 2000, ClientTimeout: 16_000, Credit: 3,
+			LateShare: 0.3, Repeat: rules.Numbered, ZoneOnly: true, RemembersFor: 5000, InOrder: true}},
+		Kinds:  []rules.Kind{{PerCall: 5, Apart: true}, {PerCall: 1}},
+		Quotas: []float64{19}, ZoneFees: []float64{0, 0.03},
 		Senders: 2, Slots: 11, HoldLimit: 241, TripLimit: 12, CallOff: true, Tick: 5, OverShare: 0.2, WholeGoal: 0.45,
 		WorstGoal: 0.2, HalvesLate: true, RetryAfter: true, RetryMost: 3000, ListOnAsk: true, AskWithin: 10_000,
 		ListedError: 0.5, ColdFrom: 0.16, WarmWithin: 10_000, TipMultiple: 2, Fall: 2000, KeyRest: 300,
@@ -102,37 +110,39 @@
 	}
 }
 
+// TestHugeList decodes a list larger than any usual buffer.
 func TestHugeList(t *testing.T) {
 	const count = 1 << 17
 	entries := strings.Repeat("0a000000 01 0200 0300 01 00002041 0000000000000000", count)
-	reader := NewReader(bytes.NewReader(frame(3, fmt.Sprintf("1080 05 %08x", 0x0200)+entries, told)))
+	reader := NewReader(bytes.NewReader(frame(3, fmt.Sprintf("1080 05 %08x", 0x0200)+entries, listUpdate)))
 	batch, err := reader.Next()
-	if err != nil || len(batch.Records[0].What.(rules.ListTold).Entries) != count {
+	if err != nil || len(batch.Records[0].Content.(rules.ListTold).Entries) != count {
 		t.Errorf("a list of %d entries: %v", count, err)
 	}
 }
 
-// TestAbsentSettings hands a notice to a sender that was told no settings: it is dismissed, without a panic.
+// TestAbsentSettings submits a notice to a sender whose settings are empty: it is dismissed, without a panic.
 func TestAbsentSettings(t *testing.T) {
 	batch, err := NewReader(bytes.NewReader(frame(3, "1010 0100 0000000000000000 02000000 7b7d", submit))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	sender := rules.New(1, batch.Records[0].What.(Created).Settings)
-	got := sender.Decide(0, []rules.Event{batch.Records[1].What.(rules.Event)})
+	sender := rules.New(1, batch.Records[0].Content.(Created).Settings)
+	got := sender.Decide(0, []rules.Event{batch.Records[1].Content.(rules.Event)})
 	if diff := cmp.Diff([]rules.Action{rules.Dismiss{Notice: 7}}, got); diff != "" {
 		t.Errorf("-want +got:\n%s", diff)
 	}
 }
 
+// TestMalformed checks that each malformed batch is an error and not the end of input.
 func TestMalformed(t *testing.T) {
-	whole := frame(3, oneEntry, told, submit)
+	whole := frame(3, oneEntry, listUpdate, submit)
 	for name, in := range map[string][]byte{
 		"header cut short":      whole[:7],
 		"body cut short":        whole[:len(whole)-1],
 		"record cut short":      frame(3, "1070 0100 07000000"),
 		"list of another size":  frame(3, "1080 05 ffffffff 0a000000"),
-		"list never sent":       frame(3, told),
+		"list never sent":       frame(3, listUpdate),
 		"unknown status":        frame(3, "1050 0100 07000000 00000000 00000000 63 00 00 0a000000 00"),
 		"unknown readiness":     frame(3, strings.Replace(oneEntry, "01 00002041", "07 00002041", 1)),
 		"settings are no JSON":  frame(3, "1010 0100 0000000000000000 02000000 7b22"),
@@ -149,13 +159,15 @@
 	}
 }
 
+// TestWrite encodes one action of each kind.
 func TestWrite(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	err := w.Add(3, []rules.Action{
 		rules.LetGo{Receiver: 0x2c9011f2}, rules.Send{Notice: 0x5d3a91c4, Receiver: 0x03124a07, TimeOut: 80},
 		rules.Dismiss{Notice: 7, RetryAfter: 250}, rules.BreakOff{Notice: 7}, rules.CallOff{Notice: 7, Trip: 2},
-		rules.SetTimer{After: 500, Timer: 77}, rules.WatchList{}, rules.Turned{Destination: 1, Route: 2, State: "open", Why: "hi"},
+		rules.SetTimer{After: 500, Timer: 77}, rules.WatchList{},
+		rules.Turned{Destination: 1, Route: 2, State: "open", Why: "hi"},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -179,8 +191,9 @@
 	}
 }
 
+// FuzzRead checks that no input makes the reader panic or loop.
 func FuzzRead(f *testing.F) {
-	f.Add(frame(3, oneEntry, told, submit, verdict))
+	f.Add(frame(3, oneEntry, listUpdate, submit, verdict))
 	f.Add(frame(4, "1010 0100 0000000000000000 02000000 7b7d", "1090 0100"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in))
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -1,4 +1,6 @@
-// Package benchwire reads and writes the frames of the bench and puts its words and microseconds into ours.
+// Package benchwire reads and writes the frames of the simulator's wire protocol. It converts between the simulator's
+// records, with times in microseconds, and the events and actions of package rules, with times in milliseconds. All
+// integers are little-endian.
 package benchwire
 
 import (
@@ -13,7 +15,7 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Instance is the bench's number of a sender.
+// Instance is the simulator's number of a sender.
 type Instance uint16
 
 // Created starts the sender of an instance.
@@ -22,273 +24,292 @@
 	Settings rules.Settings
 }
 
-// Destroyed ends the sender of an instance without warning.
+// Destroyed kills the sender of an instance, as a crash does.
 type Destroyed struct{}
 
-// Record is one thing that happened to an instance: Created, Destroyed or a rules.Event.
+// Record is something that happened to an instance. Content is a Created, a Destroyed or a rules.Event.
 type Record struct {
 	Instance Instance
-	What     any
+	Content  any
 }
 
-// Batch is all that happened at one time.
+// Batch is all records of one point in time.
 type Batch struct {
 	Number  uint32
 	Now     rules.Millis
 	Records []Record
 }
 
+// Sizes in bytes of a batch header, a record header and an entry of a receiver list.
 const (
-	headerSize = 20
-	recordHead = 6
-	entrySize  = 22
+	headerSize       = 20
+	recordHeaderSize = 6
+	entrySize        = 22
 )
 
+// The codes of the simulator's records.
 const (
-	codeDirectoryUpdate = 1000
-	codeCreate          = 1010
-	codeSampled         = 1020
-	codeEstablished     = 1030
-	codeVanished        = 1040
-	codeVerdict         = 1050
-	codeTimeoutFired    = 1060
-	codeSubmit          = 1070
-	codeSnapshotRows    = 1080
-	codeDestroy         = 1090
-	codeNeighbourSays   = 1100
+	codeDirectoryUpdate  = 1000
+	codeCreate           = 1010
+	codeSampled          = 1020
+	codeEstablished      = 1030
+	codeVanished         = 1040
+	codeVerdict          = 1050
+	codeTimeoutFired     = 1060
+	codeSubmit           = 1070
+	codeSnapshotRows     = 1080
+	codeDestroy          = 1090
+	codeNeighbourMessage = 1100
 )
 
+// The scopes of a directory update. Any other scope is a complete list.
 const (
 	scopeFailed = 0
 	scopeDelta  = 1
 )
 
+// flagInherited marks a notice that another sender held and lost.
 const flagInherited = 16
 
-var standings = map[uint8]rules.Standing{0: rules.Gone, 1: rules.Ready, 2: rules.Draining}
+// standingByCode maps the readiness codes of list entries.
+var standingByCode = map[uint8]rules.Standing{0: rules.Gone, 1: rules.Ready, 2: rules.Draining}
 
-var results = map[uint8]rules.Result{
+// resultByStatus maps the status codes of verdicts.
+var resultByStatus = map[uint8]rules.Result{
 	0: rules.Handled, 5: rules.Errored, 11: rules.Full, 104: rules.Reset, 110: rules.TimedOut,
 	111: rules.NotConnected, 114: rules.Moot, 125: rules.Cancelled,
 }
 
-// Reader reads batches. It remembers the numbered lists, which belong to the process as a whole.
+// Reader reads batches. It keeps the numbered receiver lists, which all instances of the process share.
 type Reader struct {
 	in    io.Reader
 	lists map[uint8][]rules.Entry
 }
 
-// NewReader reads frames from in.
+// NewReader returns a Reader of the frames from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: in, lists: map[uint8][]rules.Entry{}}
 }
 
-// Next returns the next batch, or io.EOF where input ends between batches.
+// Next returns the next batch, or io.EOF if the input ends between batches.
 func (r *Reader) Next() (Batch, error) {
-	var head [headerSize]byte
-	if n, err := io.ReadFull(r.in, head[:]); err != nil {
+	var header [headerSize]byte
+	if n, err := io.ReadFull(r.in, header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Batch{}, io.EOF
 		}
 		return Batch{}, fmt.Errorf("batch header: %d of %d bytes: %w", n, headerSize, err)
 	}
 	batch := Batch{
-		Number: binary.LittleEndian.Uint32(head[0:]),
-		Now:    millis(binary.LittleEndian.Uint64(head[8:])),
+		Number: binary.LittleEndian.Uint32(header[0:]),
+		Now:    millis(binary.LittleEndian.Uint64(header[8:])),
 	}
-	size, count := binary.LittleEndian.Uint32(head[4:]), binary.LittleEndian.Uint32(head[16:])
+	size, count := binary.LittleEndian.Uint32(header[4:]), binary.LittleEndian.Uint32(header[16:])
 	var body bytes.Buffer
 	if n, err := io.CopyN(&body, r.in, int64(size)); err != nil {
 		return Batch{}, fmt.Errorf("batch %d: body: %d of %d bytes: %w", batch.Number, n, size, err)
 	}
-	if err := r.records(&batch, body.Bytes(), count); err != nil {
+	if err := r.decodeRecords(&batch, body.Bytes(), count); err != nil {
 		return Batch{}, fmt.Errorf("batch %d: %w", batch.Number, err)
 	}
 	return batch, nil
 }
 
-func (r *Reader) records(batch *Batch, body []byte, count uint32) error {
-	at := 0
+// decodeRecords appends the records of a batch's body to the batch.
+func (r *Reader) decodeRecords(batch *Batch, body []byte, count uint32) error {
+	offset := 0
 	for i := range count {
-		if len(body)-at < recordHead {
-			return fmt.Errorf("record %d at byte %d: header cut short", i, at)
+		if len(body)-offset < recordHeaderSize {
+			return fmt.Errorf("record %d at byte %d: header is truncated", i, offset)
 		}
-		code, size := binary.LittleEndian.Uint16(body[at:]), binary.LittleEndian.Uint32(body[at+2:])
-		if uint64(len(body)-at-recordHead) < uint64(size) {
+		code, size := binary.LittleEndian.Uint16(body[offset:]), binary.LittleEndian.Uint32(body[offset+2:])
+		if uint64(len(body)-offset-recordHeaderSize) < uint64(size) {
 			return fmt.Errorf("record %d (code %d) at byte %d: %d bytes announced, %d left",
-				i, code, at, size, len(body)-at-recordHead)
+				i, code, offset, size, len(body)-offset-recordHeaderSize)
 		}
-		f := &fields{rest: body[at+recordHead : at+recordHead+int(size)]}
-		rec, err := r.record(code, f)
-		if err == nil && f.short {
-			err = errors.New("fields cut short")
+		in := &fields{remaining: body[offset+recordHeaderSize : offset+recordHeaderSize+int(size)]}
+		record, err := r.decodeRecord(code, in)
+		if err == nil && in.truncated {
+			err = errors.New("fields are truncated")
 		}
 		if err != nil {
-			return fmt.Errorf("record %d (code %d) at byte %d: %w", i, code, at, err)
+			return fmt.Errorf("record %d (code %d) at byte %d: %w", i, code, offset, err)
 		}
-		if rec.What != nil {
-			batch.Records = append(batch.Records, rec)
+		if record.Content != nil {
+			batch.Records = append(batch.Records, record)
 		}
-		at += recordHead + int(size)
+		offset += recordHeaderSize + int(size)
 	}
-	if at != len(body) {
-		return fmt.Errorf("%d bytes after the last record", len(body)-at)
+	if offset != len(body) {
+		return fmt.Errorf("%d bytes after the last record", len(body)-offset)
 	}
 	return nil
 }
 
-// record reads one record. What the decisions have no use for leaves What empty.
-func (r *Reader) record(code uint16, f *fields) (Record, error) {
+// decodeRecord decodes one record. Content stays nil for records that no event of package rules corresponds to.
+func (r *Reader) decodeRecord(code uint16, in *fields) (Record, error) {
 	switch code {
 	case codeSnapshotRows:
-		return Record{}, r.list(f)
+		return Record{}, r.decodeList(in)
 	case codeDirectoryUpdate, codeCreate, codeSampled, codeEstablished, codeVanished, codeVerdict,
-		codeTimeoutFired, codeSubmit, codeDestroy, codeNeighbourSays:
+		codeTimeoutFired, codeSubmit, codeDestroy, codeNeighbourMessage:
 	default:
 		return Record{}, nil
 	}
-	rec := Record{Instance: Instance(f.u16())}
+	record := Record{Instance: Instance(in.u16())}
 	var err error
 	switch code {
 	case codeDirectoryUpdate:
-		rec.What, err = r.listTold(f)
+		record.Content, err = r.decodeListUpdate(in)
 	case codeCreate:
-		rec.What, err = created(f)
+		record.Content, err = decodeCreated(in)
 	case codeSampled:
-		f.u32()
-		f.u8()
-		f.u32()
-		f.report()
+		in.u32()
+		in.u8()
+		in.u32()
+		in.report()
 	case codeEstablished:
-		f.bytes(13)
-	case codeNeighbourSays:
-		f.u16()
-		f.bytes(int(f.u16()))
+		in.bytes(13)
+	case codeNeighbourMessage:
+		in.u16()
+		in.bytes(int(in.u16()))
 	case codeVanished:
-		rec.What = rules.NoticeWithdrawn{Notice: rules.NoticeID(f.u32())}
+		record.Content = rules.NoticeWithdrawn{Notice: rules.NoticeID(in.u32())}
 	case codeVerdict:
-		rec.What, err = tripEnded(f)
+		record.Content, err = decodeTripEnded(in)
 	case codeTimeoutFired:
-		rec.What = rules.TimerDue{Timer: rules.TimerID(f.u64())}
+		record.Content = rules.TimerDue{Timer: rules.TimerID(in.u64())}
 	case codeSubmit:
-		rec.What = noticeTaken(f)
+		record.Content = decodeNotice(in)
 	case codeDestroy:
-		rec.What = Destroyed{}
+		record.Content = Destroyed{}
 	}
-	return rec, err
+	return record, err
 }
 
-func (r *Reader) list(f *fields) error {
-	number, count := f.u8(), f.u32()
-	if uint64(count)*entrySize > uint64(len(f.rest)) {
-		return fmt.Errorf("list %d: %d entries announced, room for %d", number, count, len(f.rest)/entrySize)
+// decodeList decodes a receiver list and stores it by its number.
+func (r *Reader) decodeList(in *fields) error {
+	number, count := in.u8(), in.u32()
+	if uint64(count)*entrySize > uint64(len(in.remaining)) {
+		return fmt.Errorf("list %d: %d entries announced, but the record has space for %d",
+			number, count, len(in.remaining)/entrySize)
 	}
 	entries := make([]rules.Entry, count)
 	for i := range entries {
-		e := &entries[i]
-		e.Receiver = rules.ReceiverID(f.u32())
-		e.Zone = rules.ZoneID(f.u8())
-		e.Kind = rules.KindID(f.u16())
-		e.Destination = rules.DestinationID(f.u16())
-		standing, known := standings[f.u8()]
+		entry := &entries[i]
+		entry.Receiver = rules.ReceiverID(in.u32())
+		entry.Zone = rules.ZoneID(in.u8())
+		entry.Kind = rules.KindID(in.u16())
+		entry.Destination = rules.DestinationID(in.u16())
+		standing, known := standingByCode[in.u8()]
 		if !known {
-			return fmt.Errorf("list %d: entry %d: unknown readiness", number, i)
+			return fmt.Errorf("list %d: entry %d: unknown readiness code", number, i)
 		}
-		e.Standing = standing
-		e.ListedRate = f.number()
-		f.u64()
+		entry.Standing = standing
+		entry.ListedRate = in.float()
+		in.u64()
 	}
 	r.lists[number] = entries
 	return nil
 }
 
-func (r *Reader) listTold(f *fields) (any, error) {
-	scope := f.u8()
-	f.u32()
-	number := f.u8()
+// decodeListUpdate decodes an update that refers to a list by its number, or reports that discovery failed.
+func (r *Reader) decodeListUpdate(in *fields) (any, error) {
+	scope := in.u8()
+	in.u32()
+	number := in.u8()
 	if scope == scopeFailed {
 		return rules.ListFailed{}, nil
 	}
 	entries, known := r.lists[number]
-	if !known && !f.short {
-		return nil, fmt.Errorf("list %d was never sent", number)
+	if !known && !in.truncated {
+		return nil, fmt.Errorf("update refers to list %d, which was never sent", number)
 	}
 	return rules.ListTold{Whole: scope != scopeDelta, Entries: entries}, nil
 }
 
-func created(f *fields) (any, error) {
-	seed := f.u64()
-	text := f.bytes(int(f.u32()))
-	if f.short {
+// decodeCreated decodes the seed and the settings of a new sender.
+func decodeCreated(in *fields) (any, error) {
+	seed := in.u64()
+	text := in.bytes(int(in.u32()))
+	if in.truncated {
 		return nil, nil
 	}
 	decoded, _, err := settings.Read(text)
 	if err != nil {
-		return nil, fmt.Errorf("options: %w", err)
+		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return Created{Seed: seed, Settings: decoded}, nil
 }
 
-func tripEnded(f *fields) (any, error) {
-	e := rules.TripEnded{Notice: rules.NoticeID(f.u32())}
-	remark := f.u32()
-	e.Spent = millis(f.u32())
-	status := f.u8()
-	e.Over = f.u8() != 0
-	f.u8()
-	e.Receiver = rules.ReceiverID(f.u32())
-	report := f.report()
-	result, known := results[status]
-	if !known && !f.short {
+// decodeTripEnded decodes the outcome of a trip. With rules.Full, the status detail is the requested wait in
+// milliseconds, unlike the wire's other times. A report has the share of the limit that is left and the limit in calls
+// per second.
+func decodeTripEnded(in *fields) (any, error) {
+	ended := rules.TripEnded{Notice: rules.NoticeID(in.u32())}
+	statusDetail := in.u32()
+	ended.Spent = millis(in.u32())
+	status := in.u8()
+	ended.Over = in.u8() != 0
+	in.u8()
+	ended.Receiver = rules.ReceiverID(in.u32())
+	report := in.report()
+	result, known := resultByStatus[status]
+	if !known && !in.truncated {
 		return nil, fmt.Errorf("unknown status %d", status)
 	}
-	e.Result = result
+	ended.Result = result
 	if result == rules.Full {
-		e.Wait = rules.Millis(remark)
+		ended.Wait = rules.Millis(statusDetail)
 	}
 	if len(report) >= 2 {
-		e.LimitTold, e.LimitLeft, e.LimitRate = true, report[0], report[1]
+		ended.LimitTold, ended.LimitLeft, ended.LimitRate = true, report[0], report[1]
 	}
-	return e, nil
+	return ended, nil
 }
 
-func noticeTaken(f *fields) any {
-	e := rules.NoticeTaken{Notice: rules.NoticeID(f.u32())}
-	e.Grade = rules.GradeID(f.u16())
-	e.Portfolio = rules.PortfolioID(f.u32())
-	e.Key = rules.KeyID(f.u64())
-	e.Left = millis(f.u32())
-	f.u32()
-	e.Destination = destination(f.number())
-	e.Inherited = f.u8()&flagInherited != 0
-	return e
+// decodeNotice decodes a notice that the sender has accepted.
+func decodeNotice(in *fields) any {
+	notice := rules.NoticeTaken{Notice: rules.NoticeID(in.u32())}
+	notice.Grade = rules.GradeID(in.u16())
+	notice.Portfolio = rules.PortfolioID(in.u32())
+	notice.Key = rules.KeyID(in.u64())
+	notice.Left = millis(in.u32())
+	in.u32()
+	notice.Destination = destinationID(in.float())
+	notice.Inherited = in.u8()&flagInherited != 0
+	return notice
 }
 
-// destination turns the wire's fractional number into an id; what no list can hold becomes -1.
-func destination(number float64) rules.DestinationID {
+// destinationID converts the wire's floating-point number to an id. A number that cannot occur in a receiver list
+// becomes -1.
+func destinationID(number float64) rules.DestinationID {
 	if number < 0 || number > math.MaxUint16 || number != math.Trunc(number) {
 		return -1
 	}
 	return rules.DestinationID(number)
 }
 
+// millis converts the wire's microseconds.
 func millis[T uint32 | uint64](us T) rules.Millis { return rules.Millis(us) / 1000 }
 
-// fields takes a record's fields in turn; past the end it gives zeros and remembers that it did.
+// fields decodes the fields of a record in order. Reading past the end yields zeros and sets truncated.
 type fields struct {
-	rest  []byte
-	short bool
+	remaining []byte
+	truncated bool
 }
 
+// zeros stands in for a field past the end; the largest fixed field has eight bytes.
 var zeros [8]byte
 
+// bytes returns the next n bytes. Past the end, it returns at most len(zeros) zeros.
 func (f *fields) bytes(n int) []byte {
-	if n < 0 || n > len(f.rest) {
-		f.short, f.rest = true, nil
+	if n < 0 || n > len(f.remaining) {
+		f.truncated, f.remaining = true, nil
 		return zeros[:min(max(n, 0), len(zeros))]
 	}
-	b := f.rest[:n]
-	f.rest = f.rest[n:]
+	b := f.remaining[:n]
+	f.remaining = f.remaining[n:]
 	return b
 }
 
@@ -297,8 +318,8 @@
 func (f *fields) u32() uint32 { return binary.LittleEndian.Uint32(f.bytes(4)) }
 func (f *fields) u64() uint64 { return binary.LittleEndian.Uint64(f.bytes(8)) }
 
-// number reads a float; what is no finite number counts as absent.
-func (f *fields) number() float64 {
+// float reads a 32-bit float; one that is not finite is read as 0.
+func (f *fields) float() float64 {
 	v := float64(math.Float32frombits(f.u32()))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return 0
@@ -306,10 +327,11 @@
 	return v
 }
 
+// report reads a list of floats preceded by its length.
 func (f *fields) report() []float64 {
 	values := make([]float64, f.u8())
 	for i := range values {
-		values[i] = f.number()
+		values[i] = f.float()
 	}
 	return values
 }
--- a/internal/benchwire/encode.go
+++ b/internal/benchwire/encode.go
@@ -10,84 +10,86 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
+// The codes of the records in a reply.
 const (
 	codeIssue         = 1000
 	codePushBack      = 1010
 	codeDropRequest   = 1020
 	codeWithdraw      = 1030
 	codeRemind        = 1040
-	codeLetGo         = 1060
+	codeCloseIdle     = 1060
 	codeEmit          = 1080
 	codeStreamChanges = 1100
 )
 
-// Writer writes replies.
+// Writer writes the replies to batches.
 type Writer struct {
 	out   *bufio.Writer
 	body  []byte
 	count uint32
 }
 
-// NewWriter writes frames to out.
+// NewWriter returns a Writer of frames to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriter(out)} }
 
-// Add puts an instance's actions into the reply.
-func (w *Writer) Add(who Instance, actions []rules.Action) error {
+// Add appends the actions of an instance to the reply.
+func (w *Writer) Add(instance Instance, actions []rules.Action) error {
 	for _, a := range actions {
-		if err := w.add(who, a); err != nil {
+		if err := w.add(instance, a); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *Writer) add(who Instance, action rules.Action) error {
+// add appends one action to the reply.
+func (w *Writer) add(instance Instance, action rules.Action) error {
 	switch a := action.(type) {
 	case rules.Send:
-		w.head(codeIssue, 14, who)
+		w.header(codeIssue, 14, instance)
 		w.u32(uint32(a.Notice))
-		w.u32(micro(a.TimeOut))
+		w.u32(toMicros(a.TimeOut))
 		w.u32(uint32(a.Receiver))
 	case rules.Dismiss:
-		w.head(codePushBack, 10, who)
+		w.header(codePushBack, 10, instance)
 		w.u32(uint32(a.Notice))
-		w.u32(micro(a.RetryAfter))
+		w.u32(toMicros(a.RetryAfter))
 	case rules.BreakOff:
-		w.head(codeDropRequest, 6, who)
+		w.header(codeDropRequest, 6, instance)
 		w.u32(uint32(a.Notice))
 	case rules.CallOff:
-		w.head(codeWithdraw, 7, who)
+		w.header(codeWithdraw, 7, instance)
 		w.u32(uint32(a.Notice))
 		w.body = append(w.body, uint8(a.Trip))
 	case rules.LetGo:
-		w.head(codeLetGo, 6, who)
+		w.header(codeCloseIdle, 6, instance)
 		w.u32(uint32(a.Receiver))
 	case rules.SetTimer:
-		w.head(codeRemind, 14, who)
-		w.u32(micro(a.After))
+		w.header(codeRemind, 14, instance)
+		w.u32(toMicros(a.After))
 		w.body = binary.LittleEndian.AppendUint64(w.body, uint64(a.Timer))
 	case rules.WatchList:
-		w.head(codeStreamChanges, 3, who)
+		w.header(codeStreamChanges, 3, instance)
 		w.body = append(w.body, 1)
 	case rules.Turned:
 		text := a.String()
 		text = text[:min(len(text), math.MaxUint16)]
-		w.head(codeEmit, 4+uint32(len(text)), who)
+		w.header(codeEmit, 4+uint32(len(text)), instance)
 		w.body = binary.LittleEndian.AppendUint16(w.body, uint16(len(text)))
 		w.body = append(w.body, text...)
 	default:
-		return fmt.Errorf("no wire form for %T", action)
+		return fmt.Errorf("action %T has no record code", action)
 	}
 	return nil
 }
 
-// Flush sends all that was added as the reply to a batch.
+// Flush writes the added actions as the reply to the batch with that number.
 func (w *Writer) Flush(number uint32) error {
-	var head [12]byte
-	binary.LittleEndian.PutUint32(head[0:], number)
-	binary.LittleEndian.PutUint32(head[4:], w.count)
-	binary.LittleEndian.PutUint32(head[8:], uint32(len(w.body)))
-	w.out.Write(head[:])
+	var header [12]byte
+	binary.LittleEndian.PutUint32(header[0:], number)
+	binary.LittleEndian.PutUint32(header[4:], w.count)
+	binary.LittleEndian.PutUint32(header[8:], uint32(len(w.body)))
+	w.out.Write(header[:])
 	w.out.Write(w.body)
 	w.body, w.count = w.body[:0], 0
 	if err := w.out.Flush(); err != nil {
@@ -96,16 +98,18 @@
 	return nil
 }
 
-func (w *Writer) head(code uint16, size uint32, who Instance) {
+// header begins a record. The size covers the instance and the fields that follow.
+func (w *Writer) header(code uint16, size uint32, instance Instance) {
 	w.count++
 	w.body = binary.LittleEndian.AppendUint16(w.body, code)
 	w.u32(size)
-	w.body = binary.LittleEndian.AppendUint16(w.body, uint16(who))
+	w.body = binary.LittleEndian.AppendUint16(w.body, uint16(instance))
 }
 
 func (w *Writer) u32(v uint32) { w.body = binary.LittleEndian.AppendUint32(w.body, v) }
 
-// micro rounds up, so that a timer never comes before its time.
-func micro(m rules.Millis) uint32 {
+// toMicros converts to the wire's microseconds. It rounds up so that a timer never fires early; the nanosecond that is
+// subtracted first absorbs floating-point errors.
+func toMicros(m rules.Millis) uint32 {
 	return uint32(min(math.Ceil(max(float64(m)*1000-1e-3, 0)), math.MaxUint32))
 }
