--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds what both programs' command lines share: exit status and how wrong use is told.
+// Package cli holds what the command lines of both programs share: the exit status and the reporting of usage errors.
 package cli
 
 import (
@@ -9,53 +9,56 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit status besides 0, done.
+// Exit statuses other than 0.
 const (
-	Failed = 1
-	Usage  = 2
+	StatusFailed = 1 // the command failed
+	StatusUsage  = 2 // the command line is invalid
 )
 
-// WrongUse is a command line that can't be meant.
-type WrongUse struct{ Why error }
+// UsageError reports an invalid command line.
+type UsageError struct{ Err error }
 
-func (w WrongUse) Error() string { return w.Why.Error() }
+// Error returns the text of the wrapped error.
+func (w UsageError) Error() string { return w.Err.Error() }
 
-// Unwrap is why.
-func (w WrongUse) Unwrap() error { return w.Why }
+// Unwrap returns the wrapped error.
+func (w UsageError) Unwrap() error { return w.Err }
 
-// Misused makes an error of wrong use.
-func Misused(format string, args ...any) error { return WrongUse{fmt.Errorf(format, args...)} }
+// Misused formats a UsageError.
+func Misused(format string, args ...any) error { return UsageError{fmt.Errorf(format, args...)} }
 
-// Args makes a wrong number of arguments wrong use.
+// Args wraps a check of the positional arguments so that its error is a UsageError.
 func Args(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
-			return WrongUse{err}
+			return UsageError{err}
 		}
 		return nil
 	}
 }
 
-// Help shows a command's help, for those that only have others below them.
+// Help prints the command's help. It is the RunE of a command that only has subcommands.
 func Help(c *cobra.Command, _ []string) error { return c.Help() }
 
-// Prepare makes a root command tell errors by its program's exit status alone.
+// Prepare sets up a root command: cobra prints neither errors nor usage, which is left to Exit, and invalid flags and
+// arguments are usage errors.
 func Prepare(root *cobra.Command) *cobra.Command {
 	root.SilenceUsage, root.SilenceErrors = true, true
 	root.Args, root.RunE = Args(cobra.NoArgs), Help
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return WrongUse{err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return UsageError{err} })
 	return root
 }
 
-// Exit ends a program by what it came to.
+// Exit prints an error and ends the program with StatusUsage for a UsageError, else with StatusFailed. Without an error
+// it returns.
 func Exit(program string, err error) {
 	if err == nil {
 		return
 	}
 	fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
-	var wrong WrongUse
-	if errors.As(err, &wrong) {
-		os.Exit(Usage)
+	var usageErr UsageError
+	if errors.As(err, &usageErr) {
+		os.Exit(StatusUsage)
 	}
-	os.Exit(Failed)
+	os.Exit(StatusFailed)
 }
