--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -136,10 +136,10 @@
 
 // TestMalformed checks that each malformed batch is an error and not the end of input.
 func TestMalformed(t *testing.T) {
-	whole := frame(3, oneEntry, listUpdate, submit)
+	complete := frame(3, oneEntry, listUpdate, submit)
 	for name, in := range map[string][]byte{
-		"header cut short":      whole[:7],
-		"body cut short":        whole[:len(whole)-1],
+		"header cut short":      complete[:7],
+		"body cut short":        complete[:len(complete)-1],
 		"record cut short":      frame(3, "1070 0100 07000000"),
 		"list of another size":  frame(3, "1080 05 ffffffff 0a000000"),
 		"list never sent":       frame(3, listUpdate),
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -68,7 +68,7 @@
 	scopeDelta  = 1
 )
 
-// flagInherited marks a notice that another sender held and lost.
+// flagInherited marks a notice that another sender held until it died.
 const flagInherited = 16
 
 // standingByCode maps the readiness codes of list entries.
@@ -299,7 +299,7 @@
 	truncated bool
 }
 
-// zeros stands in for a field past the end; the largest fixed field has eight bytes.
+// zeros is what bytes returns past the end. The largest number has eight bytes.
 var zeros [8]byte
 
 // bytes returns the next n bytes. Past the end, it returns at most len(zeros) zeros.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -336,38 +336,38 @@
 	writeValue("sockets", c.Machine.Sockets)
 	writeKind(conf.Size, "disk", math.Round(c.Machine.DiskMB*1e6))
 	writeNumber("cores", c.Machine.Cores)
-	decisions := c.Settings
+	values := c.Settings
 	writeHeader("[sending]")
-	writeValue("senders", decisions.Senders)
-	writeValue("slots", decisions.Slots)
-	writeValue("hold", decisions.HoldLimit)
-	writeValue("trips", decisions.TripLimit)
-	writeValue("call_off", decisions.CallOff)
-	writeSpan("tick", decisions.Tick)
-	writeSpan("idle_kept", decisions.IdleKept)
+	writeValue("senders", values.Senders)
+	writeValue("slots", values.Slots)
+	writeValue("hold", values.HoldLimit)
+	writeValue("trips", values.TripLimit)
+	writeValue("call_off", values.CallOff)
+	writeSpan("tick", values.Tick)
+	writeSpan("idle_kept", values.IdleKept)
 	writeSpan("connect_time", c.Names.ConnectTime)
-	writeSpan("key_rest", decisions.KeyRest)
-	writeText("list", choose(decisions.ListOnAsk, "asked", "watched"))
-	writeSpan("ask_within", decisions.AskWithin)
+	writeSpan("key_rest", values.KeyRest)
+	writeText("list", choose(values.ListOnAsk, "asked", "watched"))
+	writeSpan("ask_within", values.AskWithin)
 	writeText("listed_rates",
-		choose(decisions.ListedError < 0, "none", choose(decisions.ListedError == 0, "nominal", "rough")))
+		choose(values.ListedError < 0, "none", choose(values.ListedError == 0, "nominal", "rough")))
 	writeHeader("[goal]")
-	writeNumber("whole", decisions.WholeGoal)
-	writeNumber("worst_grade", decisions.WorstGoal)
-	writeNumber("over_share", decisions.OverShare)
-	writeText("late", choose(decisions.HalvesLate, "by-halves", "evenly"))
+	writeNumber("whole", values.WholeGoal)
+	writeNumber("worst_grade", values.WorstGoal)
+	writeNumber("over_share", values.OverShare)
+	writeText("late", choose(values.HalvesLate, "by-halves", "evenly"))
 	writeHeader("[dismissal]")
-	writeValue("retry_after", decisions.RetryAfter)
-	writeSpan("retry_most", decisions.RetryMost)
+	writeValue("retry_after", values.RetryAfter)
+	writeSpan("retry_most", values.RetryMost)
 	writeHeader("[return]")
-	writeNumber("cold_from", decisions.ColdFrom)
-	writeSpan("warm", decisions.WarmWithin)
-	writeNumber("multiple", decisions.TipMultiple)
-	writeSpan("fall", decisions.Fall)
+	writeNumber("cold_from", values.ColdFrom)
+	writeSpan("warm", values.WarmWithin)
+	writeNumber("multiple", values.TipMultiple)
+	writeSpan("fall", values.Fall)
 	writeHeader("[report]")
 	writeText("left", settings.Name(c.Names.Report, 0))
 	writeText("limit", settings.Name(c.Names.Report, 1))
-	for i, grade := range decisions.Grades {
+	for i, grade := range values.Grades {
 		writeHeader("[[grade]]")
 		writeText("name", c.Names.Grades[i])
 		writeSpan("quoted", grade.QuotedTime)
@@ -385,12 +385,12 @@
 		}
 		writeValue("in_order", grade.InOrder)
 	}
-	for i, quota := range decisions.Quotas {
+	for i, quota := range values.Quotas {
 		writeHeader("[[portfolio]]")
 		writeText("name", c.Names.Portfolios[i])
 		writeKind(conf.Rate, "quota", quota)
 	}
-	for i, kind := range decisions.Kinds {
+	for i, kind := range values.Kinds {
 		writeHeader("[[kind]]")
 		writeText("name", c.Names.Kinds[i])
 		writeValue("apart", kind.Apart)
@@ -398,8 +398,8 @@
 	for i, zone := range c.Names.Zones {
 		writeHeader("[[zone]]")
 		writeText("name", zone)
-		if i < len(decisions.ZoneFees) {
-			writeNumber("fee", decisions.ZoneFees[i])
+		if i < len(values.ZoneFees) {
+			writeNumber("fee", values.ZoneFees[i])
 		}
 	}
 	for _, member := range c.Known.Members {
