--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -11,48 +11,52 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
+// never stands for the time of something that has not happened. It is later than any other time.
 const never = rules.Millis(math.MaxFloat64)
 
-// Tolerances is by how much what different parties saw at one time may differ.
+// Tolerances holds grace periods: how far the times that different parties record of the same event may differ, and how
+// late a sender may act.
 type Tolerances struct {
-	Slack    rules.Millis // of any time limit
-	Lost     rules.Millis // a final answer may come so long after the client timeout
-	Restart  rules.Millis // and so long after a sender that was away is ready again
-	Drain    rules.Millis // grace of a drain
-	Wait     rules.Millis // calls that come so soon after a told wait had left before
-	Crossing rules.Millis // a time-out and an answer may cross within so long
+	Slack    rules.Millis // added to every time limit
+	Lost     rules.Millis // maximum delay of a final answer after the client timeout
+	Restart  rules.Millis // maximum delay of a final answer after an unavailable sender is ready again
+	Drain    rules.Millis // time that a sender has to stop calling a draining or removed receiver
+	Wait     rules.Millis // calls that arrive within this time of a requested wait may have been sent before it arrived
+	Crossing rules.Millis // a timeout and a response within this time of each other may cross on the way
 }
 
-// Usual is the tolerances of the platform's own rules, on a machine that may be busy.
+// Usual holds the tolerances of the platform's own rules, for a machine that may be busy.
 var Usual = Tolerances{Slack: 50, Lost: 300, Restart: 1500, Drain: 1000, Wait: 100, Crossing: 250}
 
-// Rule is one of the six rules; 0 is what no rule names.
+// Rule is one of the six rules that a sender has to keep, or Other.
 type Rule int
 
-// The rules.
+// The rules, in the order of their numbers.
 const (
-	Other Rule = iota
-	Lost
-	Twice
-	Drains
-	Returns
-	Order
-	Waits
+	Other   Rule = iota // a fault that none of the six rules names
+	Lost                // each accepted notice has exactly one final answer, in time
+	Twice               // no notice takes effect twice unless its grade allows it
+	Drains              // draining and removed receivers are no longer called
+	Returns             // a destination that returns from an outage is not overloaded
+	Order               // ordered notices of one key are sent one at a time, in the order in which they were accepted
+	Waits               // no call is sent during a requested wait
 )
 
+// String returns the rule's number and short text.
 func (r Rule) String() string {
-	return [...]string{"other", "1, no notice lost", "2, no effect twice", "3, drains kept", "4, a return not pushed over",
-		"5, order kept", "6, waits heeded"}[r]
+	return [...]string{"other", "1, no notice lost", "2, no effect twice", "3, drains kept",
+		"4, a return not pushed over", "5, order kept", "6, waits heeded"}[r]
 }
 
-// Breach is a rule broken, with the story of the notice if it is about one.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule  Rule
-	ID    string
-	What  string
-	Story []string
+	ID    string   // of the notice concerned; empty if the breach is not about a single notice
+	What  string   // what happened, as a predicate of which the notice is the subject
+	Story []string // every recorded event of the notice in the order of time, one line each
 }
 
+// String returns the breach with its story on indented lines.
 func (b Breach) String() string {
 	text := fmt.Sprintf("rule %v: %s %s", b.Rule, b.ID, b.What)
 	for _, line := range b.Story {
@@ -61,110 +65,115 @@
 	return text
 }
 
-// Check checks the rules on what was seen up to a time. settings are what the senders were told.
+// Check checks the rules on everything recorded up to the time until. settings are those that the senders were given.
 func (r *Record) Check(settings rules.Settings, t Tolerances, until rules.Millis) []Breach {
 	return r.View().Check(settings, t, until)
 }
 
-// Check checks the rules on a view, whose calls it puts into the order of their times.
+// Check checks the rules on a view as Record.Check does. It sorts the view's calls by the time of their first byte.
 func (v View) Check(settings rules.Settings, t Tolerances, until rules.Millis) []Breach {
-	c := &checker{View: v, settings: settings, t: t, until: until, hands: map[string]*Hand{}, byID: map[string][]*Call{},
-		ends: map[string][]End{}, effects: map[string][]*Hand{}}
+	c := &checker{View: v, settings: settings, tolerances: t, until: until, submissions: map[string]*Hand{},
+		callsByID: map[string][]*Call{}, outcomesByID: map[string][]End{}, byEffect: map[string][]*Hand{}}
 	for i := range c.Hands {
 		h := &c.Hands[i]
-		c.hands[h.ID] = h
-		c.effects[h.Effect] = append(c.effects[h.Effect], h)
+		c.submissions[h.ID] = h
+		c.byEffect[h.Effect] = append(c.byEffect[h.Effect], h)
 	}
 	slices.SortStableFunc(c.Calls, func(a, b Call) int { return cmp.Compare(a.First, b.First) })
 	for i := range c.Calls {
-		c.byID[c.Calls[i].ID] = append(c.byID[c.Calls[i].ID], &c.Calls[i])
+		c.callsByID[c.Calls[i].ID] = append(c.callsByID[c.Calls[i].ID], &c.Calls[i])
 	}
 	for _, e := range c.Ends {
-		c.ends[e.ID] = append(c.ends[e.ID], e)
+		c.outcomesByID[e.ID] = append(c.outcomesByID[e.ID], e)
 	}
-	c.strangers()
+	c.checkUnknownCalls()
 	for i := range c.Hands {
-		c.lost(&c.Hands[i])
-		c.repeats(&c.Hands[i])
-	}
-	c.effectsTwice()
-	c.drains()
-	c.returns()
-	c.order()
-	c.waits()
-	return c.found
+		c.checkFinalAnswer(&c.Hands[i])
+		c.checkRepeats(&c.Hands[i])
+	}
+	c.checkEffects()
+	c.checkDrains()
+	c.checkReturns()
+	c.checkOrder()
+	c.checkWaits()
+	return c.breaches
 }
 
+// checker indexes a view for the checks and collects the breaches that they find.
 type checker struct {
 	View
-	settings rules.Settings
-	t        Tolerances
-	until    rules.Millis
-	hands    map[string]*Hand
-	byID     map[string][]*Call
-	ends     map[string][]End
-	effects  map[string][]*Hand
-	found    []Breach
+	settings     rules.Settings
+	tolerances   Tolerances
+	until        rules.Millis
+	submissions  map[string]*Hand   // by notice ID
+	callsByID    map[string][]*Call // in the order of their first bytes
+	outcomesByID map[string][]End
+	byEffect     map[string][]*Hand // submissions of each effect
+	breaches     []Breach
 }
 
-func (c *checker) say(rule Rule, id, format string, args ...any) {
-	c.found = append(c.found, Breach{rule, id, fmt.Sprintf(format, args...), c.story(id)})
+// report adds a breach. The formatted text is a predicate of which the notice is the subject.
+func (c *checker) report(rule Rule, id, format string, args ...any) {
+	c.breaches = append(c.breaches, Breach{rule, id, fmt.Sprintf(format, args...), c.timeline(id)})
 }
 
-// story is all that was seen of a notice, in the order of time.
-func (c *checker) story(id string) []string {
-	h := c.hands[id]
-	if h == nil {
+// timeline lists every recorded event of a notice, and of the other submissions of its effect, in the order of time.
+func (c *checker) timeline(id string) []string {
+	submission := c.submissions[id]
+	if submission == nil {
 		return nil
 	}
-	type line struct {
+	type entry struct {
 		at   rules.Millis
 		text string
 	}
-	var lines []line
-	add := func(at rules.Millis, format string, args ...any) {
-		lines = append(lines, line{at, fmt.Sprintf("%9.1f  ", at) + fmt.Sprintf(format, args...)})
+	var entries []entry
+	addEntry := func(at rules.Millis, format string, args ...any) {
+		entries = append(entries, entry{at, fmt.Sprintf("%9.1f  ", at) + fmt.Sprintf(format, args...)})
 	}
-	for _, h := range c.effects[h.Effect] {
-		grade := c.settings.Grades[h.Grade]
-		add(h.At, "client: %s handed in to sender %d for destination %d, grade %d (%s), until %.0f", h.ID, h.Sender, h.Dest,
-			h.Grade, repeatNames[grade.Repeat], h.Until)
-		if h.Status > 0 {
-			add(h.Answered, "client: %s answered %d", h.ID, h.Status)
+	for _, related := range c.byEffect[submission.Effect] {
+		grade := c.settings.Grades[related.Grade]
+		addEntry(related.At, "client: %s submitted to sender %d for destination %d, grade %d (%s), timeout at %.0f",
+			related.ID, related.Sender, related.Dest, related.Grade, repeatNames[grade.Repeat], related.Until)
+		if related.Status > 0 {
+			addEntry(related.Answered, "client: %s got status %d", related.ID, related.Status)
 		}
-		for _, call := range c.byID[h.ID] {
-			add(call.First, "gateway: %s called at %s, ran %v, unread %v, status %d, wait %.0f, fault %s", h.ID, call.Receiver, call.Ran,
-				call.Unread, call.Status, call.Wait, call.Fault)
+		for _, call := range c.callsByID[related.ID] {
+			addEntry(call.First, "gateway: %s called at %s, ran %v, unread %v, status %d, wait %.0f, fault %s",
+				related.ID, call.Receiver, call.Ran, call.Unread, call.Status, call.Wait, call.Fault)
 			if call.Replied > 0 {
-				add(call.Replied, "gateway: %s answered %d, delivered %v", h.ID, call.Status, call.Delivered)
+				addEntry(call.Replied, "gateway: %s got response %d, delivered %v", related.ID,
+					call.Status, call.Delivered)
 			}
 			if call.Closed > 0 {
-				add(call.Closed, "gateway: the connection ended under %s", h.ID)
+				addEntry(call.Closed, "gateway: the connection closed during the call of %s", related.ID)
 			}
 		}
-		for _, e := range c.ends[h.ID] {
-			add(e.At, "platform: %s %s, by sender %d", h.ID, e.Outcome, e.Sender)
+		for _, e := range c.outcomesByID[related.ID] {
+			addEntry(e.At, "platform: %s %s, reported by sender %d", related.ID, e.Outcome, e.Sender)
 		}
 		for _, l := range c.Lives {
-			if l.Sender == h.Sender && l.At > h.At-1000 && l.At < h.Until+5000 {
-				add(l.At, "sender %d %s", l.Sender, l.What)
+			if l.Sender == related.Sender && l.At > related.At-1000 && l.At < related.Until+5000 {
+				addEntry(l.At, "sender %d %s", l.Sender, l.What)
 			}
 		}
 	}
-	slices.SortStableFunc(lines, func(a, b line) int { return cmp.Compare(a.at, b.at) })
-	var story []string
-	for _, l := range lines {
-		if len(story) == 0 || story[len(story)-1] != l.text {
-			story = append(story, l.text)
+	slices.SortStableFunc(entries, func(a, b entry) int { return cmp.Compare(a.at, b.at) })
+	var timeline []string
+	for _, l := range entries {
+		if len(timeline) == 0 || timeline[len(timeline)-1] != l.text {
+			timeline = append(timeline, l.text)
 		}
 	}
-	return story
+	return timeline
 }
 
-var repeatNames = map[rules.Repeat]string{rules.AtMostOnce: "at-most-once", rules.Numbered: "numbered", rules.Reissuable: "reissuable"}
+// repeatNames names in story lines how notices of a grade may be repeated.
+var repeatNames = map[rules.Repeat]string{rules.AtMostOnce: "at-most-once", rules.Numbered: "numbered",
+	rules.Reissuable: "reissuable"}
 
-// away tells whether a sender was killed, left, stood still or started within a span.
-func (c *checker) away(sender int, from, to rules.Millis) bool {
+// disrupted reports whether a sender was killed, told to leave, paused, resumed or started between two times.
+func (c *checker) disrupted(sender int, from, to rules.Millis) bool {
 	for _, l := range c.Lives {
 		if l.Sender == sender && l.At >= from && l.At <= to {
 			return true
@@ -173,28 +182,31 @@
 	return false
 }
 
-// gone tells whether a sender was down or standing still at a time, and when it was ready again.
-func (c *checker) gone(sender int, at rules.Millis) (gone bool, back rules.Millis) {
+// unavailable reports whether a sender was down or paused at a time, or became ready less than the restart tolerance
+// before it, and when it was ready again.
+func (c *checker) unavailable(sender int, at rules.Millis) (unavailable bool, readyAt rules.Millis) {
 	for _, l := range c.Lives {
 		if l.Sender != sender {
 			continue
 		}
 		if l.What == "ready" || l.What == "going on" {
-			if l.At > at && gone {
+			if l.At > at && unavailable {
 				return true, l.At
 			}
-			if gone = l.At+c.t.Restart > at && l.At <= at && c.wasAway(sender, l.At); gone {
-				back = l.At
+			if unavailable = l.At+c.tolerances.Restart > at && l.At <= at &&
+				c.disruptedBefore(sender, l.At); unavailable {
+				readyAt = l.At
 			}
 		} else if l.At <= at {
-			gone, back = true, never
+			unavailable, readyAt = true, never
 		}
 	}
-	return gone, back
+	return unavailable, readyAt
 }
 
-// wasAway tells a start after an absence from the first one.
-func (c *checker) wasAway(sender int, before rules.Millis) bool {
+// disruptedBefore reports whether a sender was unavailable before a time. This distinguishes a restart from the first
+// start.
+func (c *checker) disruptedBefore(sender int, before rules.Millis) bool {
 	for _, l := range c.Lives {
 		if l.Sender == sender && l.At < before && l.What != "ready" {
 			return true
@@ -203,208 +215,232 @@
 	return false
 }
 
-// strangers finds calls for what nobody handed in, and calls to another destination's receivers.
-func (c *checker) strangers() {
+// checkUnknownCalls finds calls for notices that no client submitted, for notices that the sender had rejected, and
+// calls to another destination's receivers.
+func (c *checker) checkUnknownCalls() {
 	for i := range c.Calls {
 		call := &c.Calls[i]
 		if call.Unread {
 			continue
 		}
-		h := c.hands[call.ID]
+		submission := c.submissions[call.ID]
 		switch {
-		case h == nil:
-			c.say(Other, call.ID, "was called at %s and never handed in", call.Receiver)
-		case h.Dest != call.Dest:
-			c.say(Other, call.ID, "is for destination %d and was called at %s of destination %d", h.Dest, call.Receiver, call.Dest)
-		case h.Status > 0 && !h.Taken() && call.First > h.Answered+c.t.Slack:
-			c.say(Lost, call.ID, "was called %.0f ms after it was refused", call.First-h.Answered)
+		case submission == nil:
+			c.report(Other, call.ID, "was called at %s but was never submitted", call.Receiver)
+		case submission.Dest != call.Dest:
+			c.report(Other, call.ID, "is for destination %d and was called at %s of destination %d", submission.Dest,
+				call.Receiver, call.Dest)
+		case submission.Status > 0 && !submission.Taken() && call.First > submission.Answered+c.tolerances.Slack:
+			c.report(Lost, call.ID, "was called %.0f ms after the sender rejected it", call.First-submission.Answered)
 		}
 	}
 }
 
-// lost checks that a notice taken on has one final answer in time, and that nothing is sent behind it.
-func (c *checker) lost(h *Hand) {
-	if !h.Taken() {
+// checkFinalAnswer checks that an accepted notice has exactly one final answer in time, and that no call follows it.
+func (c *checker) checkFinalAnswer(submission *Hand) {
+	if !submission.Taken() {
 		return
 	}
-	delivered, sure, whole := never, never, never
-	for _, call := range c.byID[h.ID] {
-		// What comes past its time is no delivery, and its end is owed all the same.
-		if call.Delivered && call.Replied <= h.Until {
+	delivered, seen, complete := never, never, never
+	for _, call := range c.callsByID[submission.ID] {
+		// A response after the client timeout is no delivery: the notice still needs a final outcome.
+		if call.Delivered && call.Replied <= submission.Until {
 			delivered = min(delivered, call.Replied)
 		}
-		if call.sure(c.t.Crossing) {
-			sure = min(sure, call.Replied)
-			// A part of a good answer may be a part of an earlier call's, so its notice may be ended as well.
-			if !call.Spoilt && !call.Unfinished && !call.doubtful(c.settings.Fall+c.t.Crossing) {
-				whole = min(whole, call.Replied)
+		if call.responseSeen(c.tolerances.Crossing) {
+			seen = min(seen, call.Replied)
+			// An incomplete response with status 200 may belong to an earlier call, so the sender may also report a
+			// final outcome for its notice.
+			if !call.Spoilt && !call.Unfinished && !call.retractable(c.settings.Fall+c.tolerances.Crossing) {
+				complete = min(complete, call.Replied)
 			}
 		}
 	}
-	ended, outcome := never, ""
-	for _, e := range c.ends[h.ID] {
+	endedAt, outcome := never, ""
+	for _, e := range c.outcomesByID[submission.ID] {
 		switch {
 		case outcome == "":
-			ended, outcome = e.At, e.Outcome
+			endedAt, outcome = e.At, e.Outcome
 		case e.Outcome != outcome:
-			c.say(Lost, h.ID, "ended as %s and as %s", outcome, e.Outcome)
-		case !c.away(h.Sender, ended-c.t.Crossing, e.At+c.t.Slack):
-			c.say(Lost, h.ID, "was told twice to have ended")
+			c.report(Lost, submission.ID, "has two final outcomes, %s and %s", outcome, e.Outcome)
+		case !c.disrupted(submission.Sender, endedAt-c.tolerances.Crossing, e.At+c.tolerances.Slack):
+			c.report(Lost, submission.ID, "had its final outcome reported twice")
 		}
 	}
-	// A sender that stands still, or waits for a processor, reads a request late and counts from then.
-	due := h.Until + max(h.Answered-h.At, 0) + c.t.Lost + c.t.Slack
-	due = c.taken(h.Sender, h.At, due)
-	if gone, back := c.gone(h.Sender, due); gone {
-		due = max(due, min(back, never/2)+c.t.Restart)
+	// A sender that is paused or waits for a processor reads a request late and counts the client timeout from then on.
+	due := submission.Until + max(submission.Answered-submission.At, 0) + c.tolerances.Lost + c.tolerances.Slack
+	due = c.outcomeAcceptedBy(submission.Sender, submission.At, due)
+	if unavailable, readyAt := c.unavailable(submission.Sender, due); unavailable {
+		due = max(due, min(readyAt, never/2)+c.tolerances.Restart)
 	}
-	switch final := min(delivered, ended); {
+	switch final := min(delivered, endedAt); {
 	case final == never && due < c.until:
-		c.say(Lost, h.ID, "has no final answer")
+		c.report(Lost, submission.ID, "has no final answer")
 	case final < never && final > due:
-		c.say(Lost, h.ID, "has its final answer %.0f ms after its time was up", final-h.Until)
-	// What is delivered as its time ends may be ended as well, and told when the platform takes ends.
-	case whole < h.Until-c.t.Crossing && ended < never && ended > c.taken(h.Sender, whole-c.t.Restart, whole+c.t.Crossing) && !c.away(h.Sender, whole-c.t.Crossing, ended):
-		c.say(Lost, h.ID, "was delivered and %.0f ms later ended as %s", ended-whole, outcome)
-	}
-	for _, call := range c.byID[h.ID] {
-		if call.First > ended+c.t.Slack || call.First > sure+c.t.Slack && !c.away(h.Sender, sure-c.t.Crossing, call.First) {
-			c.say(Lost, h.ID, "was called after its final answer")
+		c.report(Lost, submission.ID, "has its final answer %.0f ms after its client timeout", final-submission.Until)
+	// A notice delivered close to its client timeout may also have a final outcome, which may be reported only when the
+	// platform accepts reports again.
+	case complete < submission.Until-c.tolerances.Crossing && endedAt < never &&
+		endedAt > c.outcomeAcceptedBy(submission.Sender, complete-c.tolerances.Restart,
+			complete+c.tolerances.Crossing) &&
+		!c.disrupted(submission.Sender, complete-c.tolerances.Crossing, endedAt):
+		c.report(Lost, submission.ID, "was delivered and %.0f ms later reported as %s", endedAt-complete, outcome)
+	}
+	for _, call := range c.callsByID[submission.ID] {
+		if call.First > endedAt+c.tolerances.Slack ||
+			call.First > seen+c.tolerances.Slack &&
+				!c.disrupted(submission.Sender, seen-c.tolerances.Crossing, call.First) {
+			c.report(Lost, submission.ID, "was called after its final answer")
 			return
 		}
 	}
 }
 
-// taken is by when the platform has taken an end that was told at a time. Ends that it does not take are told again, within a second
-// and a bit; what it has not taken since a moment counts.
-func (c *checker) taken(sender int, since, told rules.Millis) rules.Millis {
+// outcomeAcceptedBy returns by when the platform has accepted a final outcome that was first reported at a time.
+// Reports that it refuses are repeated after little more than a second, so each refusal after the time since extends
+// the limit.
+func (c *checker) outcomeAcceptedBy(sender int, since, reported rules.Millis) rules.Millis {
 	for _, s := range c.Shut {
-		if s.Sender == sender && s.At > since && s.At <= told {
-			told = max(told, s.At+c.t.Restart)
+		if s.Sender == sender && s.At > since && s.At <= reported {
+			reported = max(reported, s.At+c.tolerances.Restart)
 		}
 	}
-	return told
+	return reported
 }
 
-// repeats checks one notice's trips: their number, never two at once, and what may go again.
-func (c *checker) repeats(h *Hand) {
-	calls, grade := c.byID[h.ID], c.settings.Grades[h.Grade]
+// checkRepeats checks one notice's trips: their number, that no two run at once, and that the notice's grade allows
+// each repetition.
+func (c *checker) checkRepeats(submission *Hand) {
+	calls, grade := c.callsByID[submission.ID], c.settings.Grades[submission.Grade]
 	if len(calls) > c.settings.TripLimit {
-		c.say(Other, h.ID, "had %d trips of %d", len(calls), c.settings.TripLimit)
+		c.report(Other, submission.ID, "had %d trips, the limit is %d", len(calls), c.settings.TripLimit)
 	}
-	first := never // of the trips that may have run
+	firstMayHaveRun := never // first byte of the first trip that may have run
 	for i, call := range calls {
 		if i > 0 {
-			if before := calls[i-1]; before.Over() > call.First+c.t.Slack && !c.away(h.Sender, before.First, call.First) {
-				c.say(Twice, h.ID, "had two trips at once")
+			if previous := calls[i-1]; previous.Over() > call.First+c.tolerances.Slack &&
+				!c.disrupted(submission.Sender, previous.First, call.First) {
+				c.report(Twice, submission.ID, "had two trips at once")
 			}
-			if first < never && grade.Repeat == rules.AtMostOnce {
-				c.say(Twice, h.ID, "was sent again though it may have run")
+			if firstMayHaveRun < never && grade.Repeat == rules.AtMostOnce {
+				c.report(Twice, submission.ID, "was sent again though it may have run")
 				return
 			}
-			if first < never && grade.Repeat == rules.Numbered && call.First > first+grade.RemembersFor+c.t.Slack {
-				c.say(Twice, h.ID, "was sent again %.0f ms after it may have run, when its mark was forgotten", call.First-first)
+			if firstMayHaveRun < never && grade.Repeat == rules.Numbered &&
+				call.First > firstMayHaveRun+grade.RemembersFor+c.tolerances.Slack {
+				c.report(Twice, submission.ID,
+					"was sent again %.0f ms after it may have run, when the receiver no longer remembered its mark",
+					call.First-firstMayHaveRun)
 				return
 			}
 		}
-		if !call.known() && first == never {
-			first = call.First
+		if !call.knownNotRun() && firstMayHaveRun == never {
+			firstMayHaveRun = call.First
 		}
 	}
-	for _, e := range c.ends[h.ID] {
-		if e.Outcome == "handed_back" && first < never && grade.Repeat == rules.AtMostOnce {
-			c.say(Twice, h.ID, "was dismissed though it may have run")
+	for _, e := range c.outcomesByID[submission.ID] {
+		if e.Outcome == "handed_back" && firstMayHaveRun < never && grade.Repeat == rules.AtMostOnce {
+			c.report(Twice, submission.ID, "was dismissed though it may have run")
 		}
 	}
 }
 
-// effectsTwice counts effects, also where a client handed in again.
-func (c *checker) effectsTwice() {
+// checkEffects checks that an at-most-once effect happens once, counted over all its submissions.
+func (c *checker) checkEffects() {
 	for i := range c.Hands {
 		h := &c.Hands[i]
-		if c.effects[h.Effect][0] != h || c.settings.Grades[h.Grade].Repeat != rules.AtMostOnce {
+		if c.byEffect[h.Effect][0] != h || c.settings.Grades[h.Grade].Repeat != rules.AtMostOnce {
 			continue
 		}
-		ran := 0
-		for _, other := range c.effects[h.Effect] {
-			for _, call := range c.byID[other.ID] {
+		effects := 0
+		for _, other := range c.byEffect[h.Effect] {
+			for _, call := range c.callsByID[other.ID] {
 				if call.Ran {
-					ran++
+					effects++
 				}
 			}
 		}
-		if ran > 1 {
-			c.say(Twice, h.ID, "took effect %d times", ran)
+		if effects > 1 {
+			c.report(Twice, h.ID, "took effect %d times", effects)
 		}
 	}
 }
 
-func (c *checker) drains() {
-	type who struct {
+// checkDrains checks that no sender calls a receiver that it was told is draining or gone, once the grace time is over.
+func (c *checker) checkDrains() {
+	type receiverOfSender struct {
 		receiver string
 		sender   int
 	}
-	told := map[who]rules.Millis{}
+	unusableSince := map[receiverOfSender]rules.Millis{}
 	for _, t := range c.Told {
-		key := who{t.Receiver, t.Sender}
+		key := receiverOfSender{t.Receiver, t.Sender}
 		if t.Standing == "ready" {
-			delete(told, key)
-		} else if _, before := told[key]; !before {
-			told[key] = t.At
+			delete(unusableSince, key)
+		} else if _, before := unusableSince[key]; !before {
+			unusableSince[key] = t.At
 		}
 	}
 	for i := range c.Calls {
 		call := &c.Calls[i]
-		h := c.hands[call.ID]
+		h := c.submissions[call.ID]
 		if h == nil {
 			continue
 		}
-		if at, drains := told[who{call.Receiver, h.Sender}]; drains && call.First > at+c.t.Drain+c.t.Slack {
-			c.say(Drains, call.ID, "was called at %s %.0f ms after sender %d was told that it drains or is gone", call.Receiver,
-				call.First-at, h.Sender)
+		if at, unusable := unusableSince[receiverOfSender{call.Receiver, h.Sender}]; unusable &&
+			call.First > at+c.tolerances.Drain+c.tolerances.Slack {
+			c.report(Drains, call.ID,
+				"was called at %s %.0f ms after sender %d was told that the receiver is draining or gone",
+				call.Receiver, call.First-at, h.Sender)
 		}
 	}
 }
 
-func (c *checker) returns() {
+// checkReturns checks that no destination is overloaded on its return from an outage mainly by senders that knew of the
+// outage: those that had seen it must have made fewer than two thirds of the calls.
+func (c *checker) checkReturns() {
 	for _, f := range c.Falls {
-		all, seen := 0, 0
+		total, forewarned := 0, 0
 		for sender, n := range f.By {
-			if all += n; f.Seen[sender] {
-				seen += n
+			if total += n; f.Seen[sender] {
+				forewarned += n
 			}
 		}
-		if 3*seen >= 2*all {
-			c.found = append(c.found, Breach{Returns, "", fmt.Sprintf("destination %d fell over at %.0f, pushed by %d calls, %d of them "+
-				"by senders that had seen its outage", f.Dest, f.At, all, seen), nil})
+		if 3*forewarned >= 2*total {
+			c.breaches = append(c.breaches, Breach{Returns, "", fmt.Sprintf("destination %d was overloaded on its return "+
+				"at %.0f ms by %d calls, %d of them from senders that had seen its outage", f.Dest, f.At, total, forewarned),
+				nil})
 		}
 	}
 }
 
-// order checks that notices of one key go one at a time, in the order taken.
-func (c *checker) order() {
-	type line struct{ sender, key int }
-	lines := map[line][]*Hand{}
+// checkOrder checks that ordered notices of one key are sent one at a time, in the order in which a sender accepted
+// them.
+func (c *checker) checkOrder() {
+	type keyOfSender struct{ sender, key int }
+	queues := map[keyOfSender][]*Hand{}
 	for i := range c.Hands {
 		h := &c.Hands[i]
 		if h.Key != 0 && h.Taken() && c.settings.Grades[h.Grade].InOrder {
-			l := line{h.Sender, h.Key}
-			lines[l] = append(lines[l], h)
+			key := keyOfSender{h.Sender, h.Key}
+			queues[key] = append(queues[key], h)
 		}
 	}
-	for _, line := range lines {
-		slices.SortStableFunc(line, func(a, b *Hand) int { return cmp.Compare(a.At, b.At) })
-		for i, later := range line {
-			for _, call := range c.byID[later.ID] {
-				for _, earlier := range line[:i] {
-					if earlier.Answered >= later.At || earlier.Until+c.t.Lost < call.First {
+	for _, queue := range queues {
+		slices.SortStableFunc(queue, func(a, b *Hand) int { return cmp.Compare(a.At, b.At) })
+		for i, later := range queue {
+			for _, call := range c.callsByID[later.ID] {
+				for _, earlier := range queue[:i] {
+					if earlier.Answered >= later.At || earlier.Until+c.tolerances.Lost < call.First {
 						continue
 					}
-					for _, other := range c.byID[earlier.ID] {
-						if other.First > call.First+c.t.Slack {
-							c.say(Order, later.ID, "was called before %s of the same key", earlier.ID)
-						} else if other.Over() > call.First+c.t.Slack && !c.away(later.Sender, other.First, call.First) {
-							c.say(Order, later.ID, "was called while %s of the same key was out", earlier.ID)
+					for _, other := range c.callsByID[earlier.ID] {
+						if other.First > call.First+c.tolerances.Slack {
+							c.report(Order, later.ID, "was called before %s of the same key", earlier.ID)
+						} else if other.Over() > call.First+c.tolerances.Slack &&
+							!c.disrupted(later.Sender, other.First, call.First) {
+							c.report(Order, later.ID, "was called while a call of %s of the same key was in progress",
+								earlier.ID)
 						}
 					}
 				}
@@ -413,56 +449,60 @@
 	}
 }
 
-// waits checks that nothing goes to a destination for which a sender was told to wait.
-func (c *checker) waits() {
-	type where struct {
+// checkWaits checks that a sender makes no call to a destination, or to a receiver that is a separate route, during a
+// wait that a response from there has asked it for.
+func (c *checker) checkWaits() {
+	type routeOfSender struct {
 		sender, dest int
 		receiver     string
 	}
-	calls := map[where][]*Call{}
-	place := func(call *Call) (where, bool) {
-		h := c.hands[call.ID]
+	callsByRoute := map[routeOfSender][]*Call{}
+	routeOf := func(call *Call) (routeOfSender, bool) {
+		h := c.submissions[call.ID]
 		if h == nil {
-			return where{}, false
+			return routeOfSender{}, false
 		}
-		at := where{sender: h.Sender, dest: call.Dest}
+		route := routeOfSender{sender: h.Sender, dest: call.Dest}
 		if call.Apart {
-			at.receiver = call.Receiver
+			route.receiver = call.Receiver
 		}
-		return at, true
+		return route, true
 	}
 	for i := range c.Calls {
-		if at, known := place(&c.Calls[i]); known {
-			calls[at] = append(calls[at], &c.Calls[i])
+		if at, known := routeOf(&c.Calls[i]); known {
+			callsByRoute[at] = append(callsByRoute[at], &c.Calls[i])
 		}
 	}
 	for i := range c.Calls {
-		told := &c.Calls[i]
-		at, known := place(told)
-		if !known || told.Wait <= 0 || told.Spoilt {
+		asking := &c.Calls[i]
+		route, known := routeOf(asking)
+		if !known || asking.Wait <= 0 || asking.Spoilt {
 			continue
 		}
-		there := calls[at]
-		from := sort.Search(len(there), func(i int) bool { return there[i].First > told.Replied+c.t.Wait })
-		for _, call := range there[from:] {
-			if call.First >= told.Replied+told.Wait-c.t.Slack/10 {
+		sameRoute := callsByRoute[route]
+		from := sort.Search(len(sameRoute), func(i int) bool {
+			return sameRoute[i].First > asking.Replied+c.tolerances.Wait
+		})
+		for _, call := range sameRoute[from:] {
+			if call.First >= asking.Replied+asking.Wait-c.tolerances.Slack/10 {
 				break
 			}
-			if !c.away(at.sender, told.Replied, call.First) {
-				c.say(Waits, call.ID, "was called %.0f ms into a wait of %.0f ms told with %s", call.First-told.Replied, told.Wait, told.ID)
+			if !c.disrupted(route.sender, asking.Replied, call.First) {
+				c.report(Waits, call.ID, "was called %.0f ms into a wait of %.0f ms asked for by the response to %s",
+					call.First-asking.Replied, asking.Wait, asking.ID)
 				break
 			}
 		}
 	}
 }
 
-// Tell writes breaches, the first of each rule whole and the number of the others.
-func Tell(found []Breach) string {
+// Tell formats breaches: the first two of each rule in full, and the number of breaches of a rule that has more.
+func Tell(breaches []Breach) string {
 	var b strings.Builder
 	counts := map[Rule]int{}
-	for _, f := range found {
-		if counts[f.Rule]++; counts[f.Rule] <= 2 {
-			fmt.Fprintln(&b, f)
+	for _, breach := range breaches {
+		if counts[breach.Rule]++; counts[breach.Rule] <= 2 {
+			fmt.Fprintln(&b, breach)
 		}
 	}
 	for rule := Other; rule <= Waits; rule++ {
--- a/internal/audit/check_test.go
+++ b/internal/audit/check_test.go
@@ -6,7 +6,9 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-func TestEndOfADeliveredNoticeIsAllowedOnlyWhereItsAnswerMayBeDoubted(t *testing.T) {
+// A delivered notice may also have a final outcome, but only where the sender may retract the response that delivered
+// it: the response may belong to an earlier call of its connection if that connection ended soon afterwards.
+func TestFinalOutcomeOfADeliveredNoticeIsAllowedOnlyWhereItsResponseIsRetractable(t *testing.T) {
 	for name, c := range map[string]struct {
 		before  int
 		ended   rules.Millis
@@ -20,10 +22,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRecord()
-			r.Hand(Hand{ID: "a", At: 900, Until: 9000})
+			r.Submitted(Hand{ID: "a", At: 900, Until: 9000})
 			r.Answered("a", 202, 901)
-			r.Call(Call{ID: "a", First: 1000, Last: 1000, Before: c.before, Ran: true, Status: 200, Delivered: true, Replied: 1100, Ended: c.ended})
-			r.End(End{ID: "a", Outcome: "given_up", At: 3500})
+			r.Call(Call{ID: "a", First: 1000, Last: 1000, Before: c.before, Ran: true,
+				Status: 200, Delivered: true, Replied: 1100, Ended: c.ended})
+			r.Outcome(End{ID: "a", Outcome: "given_up", At: 3500})
 			breaches := r.Check(rules.Settings{Fall: 2000, Grades: []rules.Grade{{}}, TripLimit: 1}, Usual, 9999)
 			if allowed := len(breaches) == 0; allowed != c.allowed {
 				t.Errorf("allowed %v: %v", allowed, breaches)
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -1,5 +1,5 @@
-// Package audit joins what clients, gateways and the platform saw of senders, and checks the six rules on it. It
-// believes nothing that a sender says of itself.
+// Package audit combines what clients, gateways and the platform observe of senders and checks the six rules on it. It
+// uses no information that a sender reports about itself.
 package audit
 
 import (
@@ -8,62 +8,63 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Hand is a notice handed in once.
+// Hand is one submission of a notice by a client.
 type Hand struct {
-	ID, Effect string // the effect stays the same when a client hands in again
-	Mark       string
+	ID, Effect string // Effect stays the same when a client submits the notice again under another ID
+	Mark       string // idempotency key; empty: none
 	Grade      int
 	Portfolio  int
-	Key        int // 0: none
+	Key        int // ordering key; 0: none
 	Dest       int
 	Sender     int
-	At, Until  rules.Millis // handed in, and its client timeout
-	Intended   rules.Millis // when its effect was to be handed in first
-	Again      bool         // after a dismissal
-	Status     int          // of the sender's answer; 0: none
-	Answered   rules.Millis
+	At, Until  rules.Millis // times of the submission and of its client timeout
+	Intended   rules.Millis // intended time of the first submission of its effect
+	Again      bool         // a repeated submission of its effect
+	Status     int          // of the sender's response; 0: none
+	Answered   rules.Millis // time of the sender's response
 }
 
-// Taken tells whether the sender took it on.
+// Taken reports whether the sender accepted the notice.
 func (h *Hand) Taken() bool { return h.Status == 202 || h.Status == 200 }
 
-// Call is a call that reached a gateway whole, or was cut off there.
+// Call is a call that reached a gateway completely, or that the gateway cut off.
 type Call struct {
 	ID, Receiver, Mark string
 	Dest               int
-	Apart              bool         // its receivers are separate routes
-	First, Last        rules.Millis // its first and last byte
+	Apart              bool         // the destination's receivers are separate routes
+	First, Last        rules.Millis // times of its first and last byte
 	Unread             bool         // the connection was reset before its last byte was read
 	Ran                bool         // it took effect
-	Status             int          // the answer's; 0: none
-	Spoilt             bool         // the answer could not be read to its end
-	Unfinished         bool         // only a part of the answer has been written
-	Delivered          bool         // a whole first line with 200 was written
-	Wait               rules.Millis // told
-	Replied            rules.Millis // when the answer's first line was written; 0: not
-	Closed             rules.Millis // when the connection ended under it; 0: not
-	Before             int          // calls that came on its connection before it
-	Ended              rules.Millis // when its connection ended, if it may be doubted then (standin.line.doubtful); 0: not
-	Fault              string       // what struck it, if anything
-}
-
-// known tells whether the sender can know that the call never ran.
-func (c *Call) known() bool {
+	Status             int          // of the response; 0: none
+	Spoilt             bool         // the response is malformed and cannot be read to its end
+	Unfinished         bool         // only a part of the response has been written
+	Delivered          bool         // a complete status line with 200 was written
+	Wait               rules.Millis // the wait that the response asked for
+	Replied            rules.Millis // when the response's status line was written; 0: not written
+	Closed             rules.Millis // when the connection closed during the call; 0: it did not
+	Before             int          // number of earlier calls on its connection
+	Ended              rules.Millis // when its connection ended, if the outcome may be retracted then; 0: otherwise
+	Fault              string       // kind of the injected fault that affected it; empty: none
+}
+
+// knownNotRun reports whether the sender can know that the call never ran.
+func (c *Call) knownNotRun() bool {
 	return c.Unread || !c.Spoilt && (c.Status == 429 || c.Status == 503 || c.Status == 504 || c.Status == 410)
 }
 
-// sure tells whether the sender must have seen the answer that delivered it.
-func (c *Call) sure(crossing rules.Millis) bool {
+// responseSeen reports whether the sender must have received the response that delivered the notice.
+func (c *Call) responseSeen(crossing rules.Millis) bool {
 	return c.Delivered && (c.Closed == 0 || c.Closed > c.Replied+crossing)
 }
 
-// doubtful tells whether the sender may doubt an answer that it has seen whole: on a connection that has carried calls before it may be a
-// copy, if the connection ends within the longest time in which the true one would have come.
-func (c *Call) doubtful(longest rules.Millis) bool {
+// retractable reports whether the sender may retract the outcome of a response that it has received completely. On a
+// connection with earlier calls, the response may be a duplicate of an earlier one if the connection ends within
+// longest, the time within which the call's own response would have arrived.
+func (c *Call) retractable(longest rules.Millis) bool {
 	return c.Before > 0 && c.Ended > 0 && c.Ended <= c.Replied+longest
 }
 
-// Over is when the call was over for the sender; the greatest number there is: never.
+// Over returns when the call ended for the sender, or the greatest Millis if it never did.
 func (c *Call) Over() rules.Millis {
 	switch {
 	case c.Replied > 0 && c.Closed > 0:
@@ -74,98 +75,101 @@
 	return never
 }
 
-// End is a notice of an end that the platform took.
+// End is a final outcome of a notice that the platform accepted.
 type End struct {
 	ID, Outcome string
 	Sender      int
 	At          rules.Millis
 }
 
-// Told is what the list told a sender of a receiver.
+// Told is the standing of one receiver in a receiver list that was sent to a sender.
 type Told struct {
 	Receiver, Standing string
 	Sender             int
 	At                 rules.Millis
 }
 
-// Life is a change in a sender's life.
+// Life is a change of a sender's process state.
 type Life struct {
 	Sender int
-	What   string // killed, leaving, starting, frozen, going on, ready
+	What   string // killed, leaving, starting, frozen (paused), going on (resumed) or ready
 	At     rules.Millis
 }
 
-// Fall is a destination that fell over on its return from an outage.
+// Fall is an overload of a destination on its return from an outage.
 type Fall struct {
 	Dest int
 	At   rules.Millis
-	By   map[int]int  // calls by sender
-	Seen map[int]bool // senders that had seen a call fail or be refused there during the outage
+	By   map[int]int  // number of calls by sender
+	Seen map[int]bool // senders of which a call had failed or been refused there during the outage
 }
 
-// Shut is a time at which the platform did not take the ends that a sender told.
+// Shut is a report of final outcomes by a sender that the platform refused.
 type Shut struct {
 	Sender int
 	At     rules.Millis
 }
 
-// Record is all that was seen, in milliseconds since one beginning. It may be used by many goroutines.
+// Record collects everything observed in a run, with times in milliseconds since the same start. It is safe for
+// concurrent use.
 type Record struct {
-	mu    sync.Mutex
-	hands map[string]*Hand
-	order []*Hand
-	calls []*Call
-	ends  []End
-	told  []Told
-	lives []Life
-	falls []Fall
-	shut  []Shut
-	over  map[string]bool
-	open  int
-}
-
-// NewRecord makes an empty record.
-func NewRecord() *Record { return &Record{hands: map[string]*Hand{}, over: map[string]bool{}} }
-
-// isOver notes that an id has its final answer.
-func (r *Record) isOver(id string) {
-	if h := r.hands[id]; h != nil && h.Taken() && !r.over[id] {
-		r.open--
+	mu              sync.Mutex
+	submissions     map[string]*Hand
+	submissionOrder []*Hand
+	calls           []*Call
+	outcomes        []End
+	listings        []Told
+	senderEvents    []Life
+	overloads       []Fall
+	refusedReports  []Shut
+	finished        map[string]bool // IDs that have their final answer
+	unfinished      int             // accepted notices without a final answer
+}
+
+// NewRecord returns an empty record.
+func NewRecord() *Record {
+	return &Record{submissions: map[string]*Hand{}, finished: map[string]bool{}}
+}
+
+// finish records that a notice has its final answer.
+func (r *Record) finish(id string) {
+	if h := r.submissions[id]; h != nil && h.Taken() && !r.finished[id] {
+		r.unfinished--
 	}
-	r.over[id] = true
+	r.finished[id] = true
 }
 
-// Hand notes a notice just before it is handed in.
-func (r *Record) Hand(h Hand) {
+// Submitted records a submission just before the client sends it.
+func (r *Record) Submitted(submission Hand) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hands[h.ID] = &h
-	r.order = append(r.order, &h)
+	r.submissions[submission.ID] = &submission
+	r.submissionOrder = append(r.submissionOrder, &submission)
 }
 
-// Answered notes what a sender answered to it.
+// Answered records the status and time of a sender's response to a submission.
 func (r *Record) Answered(id string, status int, at rules.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h := r.hands[id]; h != nil {
+	if h := r.submissions[id]; h != nil {
 		h.Status, h.Answered = status, at
-		if h.Taken() && !r.over[id] {
-			r.open++
+		if h.Taken() && !r.finished[id] {
+			r.unfinished++
 		}
 	}
 }
 
-// HandOf is the hand-in of an id.
-func (r *Record) HandOf(id string) (Hand, bool) {
+// SubmissionOf returns the submission with an ID and whether there is one.
+func (r *Record) SubmissionOf(id string) (Hand, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h := r.hands[id]; h != nil {
+	if h := r.submissions[id]; h != nil {
 		return *h, true
 	}
 	return Hand{}, false
 }
 
-// Call notes a call; what comes of it is told by Change.
+// Call records a call. Use Update on the result to record what becomes of it.
 func (r *Record) Call(c Call) *Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,36 +177,48 @@
 	return &c
 }
 
-// Change lets a gateway change what it noted of a call.
-func (r *Record) Change(c *Call, change func(*Call)) {
+// Update changes a recorded call under the record's lock.
+func (r *Record) Update(c *Call, change func(*Call)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if change(c); c.Delivered && !r.over[c.ID] {
-		r.isOver(c.ID)
+	if change(c); c.Delivered && !r.finished[c.ID] {
+		r.finish(c.ID)
 	}
 }
 
-// End notes the end of a notice.
-func (r *Record) End(e End) {
+// Outcome records a final outcome that the platform accepted.
+func (r *Record) Outcome(e End) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ends = append(r.ends, e)
-	r.isOver(e.ID)
+	r.outcomes = append(r.outcomes, e)
+	r.finish(e.ID)
 }
 
-// Told notes what the list told.
-func (r *Record) Told(t Told) { r.mu.Lock(); defer r.mu.Unlock(); r.told = append(r.told, t) }
+// Listed records a receiver's standing in a list that was sent to a sender.
+func (r *Record) Listed(t Told) { r.mu.Lock(); defer r.mu.Unlock(); r.listings = append(r.listings, t) }
 
-// Life notes a change in a sender's life.
-func (r *Record) Life(l Life) { r.mu.Lock(); defer r.mu.Unlock(); r.lives = append(r.lives, l) }
+// Life records a change of a sender's process state.
+func (r *Record) Life(l Life) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.senderEvents = append(r.senderEvents, l)
+}
 
-// Shut notes that the platform did not take ends.
-func (r *Record) Shut(s Shut) { r.mu.Lock(); defer r.mu.Unlock(); r.shut = append(r.shut, s) }
+// ReportRefused records that the platform refused a report of final outcomes.
+func (r *Record) ReportRefused(s Shut) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.refusedReports = append(r.refusedReports, s)
+}
 
-// Fell notes that a destination fell over.
-func (r *Record) Fell(f Fall) { r.mu.Lock(); defer r.mu.Unlock(); r.falls = append(r.falls, f) }
+// Overloaded records that a destination was overloaded on its return from an outage.
+func (r *Record) Overloaded(f Fall) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.overloads = append(r.overloads, f)
+}
 
-// View is a copy of what was seen, in the order noted.
+// View is a copy of a record, each list in the order of recording.
 type View struct {
 	Hands []Hand
 	Calls []Call
@@ -213,13 +229,14 @@
 	Shut  []Shut
 }
 
-// View copies the record.
+// View returns a copy of the record.
 func (r *Record) View() View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := View{Ends: append([]End(nil), r.ends...), Told: append([]Told(nil), r.told...),
-		Lives: append([]Life(nil), r.lives...), Falls: append([]Fall(nil), r.falls...), Shut: append([]Shut(nil), r.shut...)}
-	for _, h := range r.order {
+	v := View{Ends: append([]End(nil), r.outcomes...), Told: append([]Told(nil), r.listings...),
+		Lives: append([]Life(nil), r.senderEvents...), Falls: append([]Fall(nil), r.overloads...),
+		Shut: append([]Shut(nil), r.refusedReports...)}
+	for _, h := range r.submissionOrder {
 		v.Hands = append(v.Hands, *h)
 	}
 	for _, c := range r.calls {
@@ -228,9 +245,9 @@
 	return v
 }
 
-// Open is the number of notices taken on that have no end yet.
+// Open returns the number of accepted notices without a final answer.
 func (r *Record) Open() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.open
+	return r.unfinished
 }
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -30,17 +30,17 @@
 
 // Clients hand in a world's notices at their times, whatever the senders answer.
 type Clients struct {
-	stage   *Stage
-	names   []string // senders' addresses
-	alive   []atomic.Int64
-	leaving []atomic.Bool
-	next    atomic.Int64
-	numbers atomic.Int64
-	pools   []*pool
-	handing sync.WaitGroup
+	env        *Stage
+	addresses  []string // senders' addresses
+	usableFrom []atomic.Int64
+	leaving    []atomic.Bool
+	next       atomic.Int64
+	lastNumber atomic.Int64
+	pools      []*pool
+	inFlight   sync.WaitGroup
 
 	mu      sync.Mutex
-	draw    *rand.Rand
+	random  *rand.Rand
 	pending map[string]*effect // by the id of its last hand-in, those that may come again
 
 	// Answer is told how long each answer took from the intended time on, and its status; 0: none.
@@ -54,27 +54,27 @@
 // effect is what a client wants done, however often it hands it in.
 type effect struct {
 	scenario.Arrival
-	name string
-	mark string
-	from rules.Millis // when it was handed in first
+	name    string
+	mark    string
+	firstAt rules.Millis // when it was handed in first
 }
 
 // pool is idle connections to one sender.
 type pool struct {
 	mu   sync.Mutex
-	idle []*link
+	idle []*clientConn
 }
 
-type link struct {
+type clientConn struct {
 	net.Conn
-	in   *bufio.Reader
-	used time.Time
+	reader   *bufio.Reader
+	lastUsed time.Time
 }
 
 // NewClients makes clients of senders at addresses.
-func NewClients(s *Stage, addresses []string) *Clients {
-	c := &Clients{stage: s, names: addresses, alive: make([]atomic.Int64, len(addresses)),
-		leaving: make([]atomic.Bool, len(addresses)), draw: scenario.Chance(s.World.Seed, 1<<40),
+func NewClients(env *Stage, addresses []string) *Clients {
+	c := &Clients{env: env, addresses: addresses, usableFrom: make([]atomic.Int64, len(addresses)),
+		leaving: make([]atomic.Bool, len(addresses)), random: scenario.Chance(env.World.Seed, 1<<40),
 		pending: map[string]*effect{}}
 	for range addresses {
 		c.pools = append(c.pools, &pool{})
@@ -84,57 +84,57 @@
 
 // Run hands in all notices and returns when the last has its answer. What is dismissed later still comes again.
 func (c *Clients) Run() {
-	for i, f := range c.stage.World.Faults {
-		if f.Kind == scenario.Hostile {
-			c.handing.Add(1)
-			go c.hostile(f, scenario.Chance(c.stage.World.Seed, 1<<41+uint64(i)))
+	for i, fault := range c.env.World.Faults {
+		if fault.Kind == scenario.Hostile {
+			c.inFlight.Add(1)
+			go c.runHostileClients(fault, scenario.Chance(c.env.World.Seed, 1<<41+uint64(i)))
 		}
 	}
-	arrivals := c.stage.World.Arrivals()
+	arrivals := c.env.World.Arrivals()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
-		a, ok := arrivals.Next()
-		if !ok || !c.waitFor(a.At) {
+		arrival, ok := arrivals.Next()
+		if !ok || !c.waitForArrival(arrival.At) {
 			break
 		}
-		e := &effect{Arrival: a, name: fmt.Sprintf("e%d", c.numbers.Add(1)), from: a.At}
-		if c.stage.World.Settings.Grades[a.Grade].Repeat == rules.Numbered {
-			e.mark = "m" + e.name[1:]
+		submitted := &effect{Arrival: arrival, name: fmt.Sprintf("e%d", c.lastNumber.Add(1)), firstAt: arrival.At}
+		if c.env.World.Settings.Grades[arrival.Grade].Repeat == rules.Numbered {
+			submitted.mark = "m" + submitted.name[1:]
 		}
 		c.Offered.Add(1)
-		if c.stage.Clock.Now() > a.At+10 {
+		if c.env.Clock.Now() > arrival.At+10 {
 			c.Late.Add(1)
 		}
-		c.handing.Add(1)
-		go c.hand(e, a.At, false, "")
+		c.inFlight.Add(1)
+		go c.submit(submitted, arrival.At, false, "")
 	}
-	c.handing.Wait()
+	c.inFlight.Wait()
 }
 
 // waitFor waits for an arrival's time. Go's timers are up to a millisecond late where a process is idle, which would be
 // measured as the sender's: the last part is waited for in the kernel.
-func (c *Clients) waitFor(at rules.Millis) bool {
-	wait := c.stage.Clock.Until(at)
-	if wait > 5*time.Millisecond && !c.stage.sleep(wait-3*time.Millisecond) {
+func (c *Clients) waitForArrival(at rules.Millis) bool {
+	wait := c.env.Clock.Until(at)
+	if wait > 5*time.Millisecond && !c.env.sleep(wait-3*time.Millisecond) {
 		return false
 	}
-	if wait = c.stage.Clock.Until(at); wait > 20*time.Microsecond {
-		exactly(wait)
+	if wait = c.env.Clock.Until(at); wait > 20*time.Microsecond {
+		sleepExactly(wait)
 	}
-	return !c.stage.Ended()
+	return !c.env.Ended()
 }
 
 // choose deals notices out over the senders, but for those known to be dead. One that leaves is used as long as a connection
 // to it is open.
-func (c *Clients) choose() int {
-	n := len(c.names)
+func (c *Clients) chooseSender() int {
+	n := len(c.addresses)
 	first := int(c.next.Add(1))
-	now := int64(c.stage.Clock.Now())
+	now := int64(c.env.Clock.Now())
 	for i := range n {
-		s := (first + i) % n
-		if now >= c.alive[s].Load() || c.leaving[s].Load() && c.pools[s].has() {
-			return s
+		sender := (first + i) % n
+		if now >= c.usableFrom[sender].Load() || c.leaving[sender].Load() && c.pools[sender].hasIdle() {
+			return sender
 		}
 	}
 	return first % n
@@ -149,57 +149,57 @@
 
 // Dead says that a sender is dead from now on, which clients notice after a while; Back that it serves again.
 func (c *Clients) Dead(sender int) {
-	notice := c.stage.World.FrontNotice
+	detectionTime := c.env.World.FrontNotice
 	go func() {
-		if c.stage.sleep(span(notice)) && c.alive[sender].Load() == -1 {
-			c.alive[sender].Store(1 << 62)
+		if c.env.sleep(toDuration(detectionTime)) && c.usableFrom[sender].Load() == -1 {
+			c.usableFrom[sender].Store(1 << 62)
 		}
 	}()
-	c.alive[sender].Store(-1)
+	c.usableFrom[sender].Store(-1)
 }
 
 // Back says that a sender serves again.
 func (c *Clients) Back(sender int) {
 	c.leaving[sender].Store(false)
-	c.alive[sender].Store(0)
+	c.usableFrom[sender].Store(0)
 }
 
 // hand hands an effect in.
-func (c *Clients) hand(e *effect, intended rules.Millis, again bool, retry string) {
-	defer c.handing.Done()
-	w, now := c.stage.World, c.stage.Clock.Now()
-	left := e.from + w.Settings.Grades[e.Grade].ClientTimeout - now
-	if left < 1 {
+func (c *Clients) submit(e *effect, intended rules.Millis, resubmitted bool, retry string) {
+	defer c.inFlight.Done()
+	w, now := c.env.World, c.env.Clock.Now()
+	remaining := e.firstAt + w.Settings.Grades[e.Grade].ClientTimeout - now
+	if remaining < 1 {
 		return
 	}
-	sender := c.choose()
-	id := fmt.Sprintf("n%d-%s", c.numbers.Add(1), e.name)
+	sender := c.chooseSender()
+	id := fmt.Sprintf("n%d-%s", c.lastNumber.Add(1), e.name)
 	// An id is noted before the sender can have it.
-	c.stage.Record.Hand(audit.Hand{ID: id, Effect: e.name, Mark: e.mark, Grade: e.Grade, Portfolio: e.Portfolio, Key: e.Key,
-		Dest: e.Destination, Sender: sender, At: now, Until: now + left, Intended: e.from, Again: again})
+	c.env.Record.Submitted(audit.Hand{ID: id, Effect: e.name, Mark: e.mark, Grade: e.Grade, Portfolio: e.Portfolio, Key: e.Key,
+		Dest: e.Destination, Sender: sender, At: now, Until: now + remaining, Intended: e.firstAt, Again: resubmitted})
 	c.mu.Lock()
 	c.pending[id] = e
 	c.mu.Unlock()
-	status, after, sent := c.ask(sender, e, id, left, retry)
-	at := c.stage.Clock.Now()
+	status, retryAfter, sent := c.exchange(sender, e, id, remaining, retry)
+	at := c.env.Clock.Now()
 	if c.Answer != nil {
 		c.Answer(status, at-intended)
 	}
 	if status > 0 {
-		c.stage.Record.Answered(id, status, at)
+		c.env.Record.Answered(id, status, at)
 	}
 	switch {
 	case status == 202 || status == 200:
 		return
 	case status == 429 || status == 503:
-		c.again(id, e, max(after, 20), "1")
+		c.resubmit(id, e, max(retryAfter, 20), "1")
 	case status == 0 && (!sent || w.Settings.Grades[e.Grade].Repeat != rules.AtMostOnce):
 		// Nobody may have it: but what must not run twice comes again only if no sender can have read it.
-		mark := "again"
+		clientRetry := "again"
 		if !sent {
-			mark = ""
+			clientRetry = ""
 		}
-		c.again(id, e, 100, mark)
+		c.resubmit(id, e, 100, clientRetry)
 	}
 	c.mu.Lock()
 	delete(c.pending, id)
@@ -207,50 +207,50 @@
 }
 
 // again hands a dismissed effect in once more after a while, if its client wants it and there is time.
-func (c *Clients) again(id string, e *effect, after rules.Millis, retry string) {
-	w := c.stage.World
+func (c *Clients) resubmit(id string, e *effect, after rules.Millis, retry string) {
+	w := c.env.World
 	c.mu.Lock()
-	wants := c.draw.Float64() < w.Traffic.Again
+	retries := c.random.Float64() < w.Traffic.Again
 	delete(c.pending, id)
 	c.mu.Unlock()
-	at := c.stage.Clock.Now() + after
-	if !wants || at >= e.from+w.Settings.Grades[e.Grade].ClientTimeout {
+	at := c.env.Clock.Now() + after
+	if !retries || at >= e.firstAt+w.Settings.Grades[e.Grade].ClientTimeout {
 		return
 	}
-	c.handing.Add(1)
+	c.inFlight.Add(1)
 	go func() {
-		if !c.stage.sleep(span(after)) {
-			c.handing.Done()
+		if !c.env.sleep(toDuration(after)) {
+			c.inFlight.Done()
 			return
 		}
-		c.hand(e, at, true, retry)
+		c.submit(e, at, true, retry)
 	}()
 }
 
 // Ended takes the platform's word that a notice has ended.
 func (c *Clients) Ended(e directory.End) {
 	c.mu.Lock()
-	effect := c.pending[e.Message]
+	submitted := c.pending[e.Message]
 	delete(c.pending, e.Message)
 	c.mu.Unlock()
-	if effect != nil && e.Outcome == directory.HandedBack {
-		c.again(e.Message, effect, max(rules.Millis(e.RetryInMS), 20), "1")
+	if submitted != nil && e.Outcome == directory.HandedBack {
+		c.resubmit(e.Message, submitted, max(rules.Millis(e.RetryInMS), 20), "1")
 	}
 }
 
-func (p *pool) has() bool {
+func (p *pool) hasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0
 }
 
-func (p *pool) take() *link {
+func (p *pool) take() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
 		l := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if time.Since(l.used) < 1500*time.Millisecond {
+		if time.Since(l.lastUsed) < 1500*time.Millisecond {
 			return l
 		}
 		l.Close()
@@ -258,82 +258,82 @@
 	return nil
 }
 
-func (p *pool) put(l *link) {
-	l.used = time.Now()
+func (p *pool) put(l *clientConn) {
+	l.lastUsed = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle = append(p.idle, l)
 	// Those at the front have stood idle for longest.
-	for len(p.idle) > 0 && time.Since(p.idle[0].used) > 1500*time.Millisecond {
+	for len(p.idle) > 0 && time.Since(p.idle[0].lastUsed) > 1500*time.Millisecond {
 		p.idle[0].Close()
 		p.idle = p.idle[1:]
 	}
 }
 
 // ask hands in and hears the answer. sent is false if no byte can have reached the sender.
-func (c *Clients) ask(sender int, e *effect, id string, left rules.Millis, retry string) (status int, after rules.Millis, sent bool) {
-	w := c.stage.World
-	deadline := time.Now().Add(span(w.Traffic.Patience))
-	var b bytes.Buffer
+func (c *Clients) exchange(sender int, e *effect, id string, remaining rules.Millis, retry string) (status int, retryAfter rules.Millis, sent bool) {
+	w := c.env.World
+	deadline := time.Now().Add(toDuration(w.Traffic.Patience))
+	var request bytes.Buffer
 	grade := w.Names.Grades[e.Grade]
-	fmt.Fprintf(&b, "POST /%s HTTP/1.1\r\nHost: sender\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n"+
-		"X-Consignee: dest=%d\r\nContent-Length: %d\r\n", grade, id, grade, int(left), e.Destination, e.Body)
+	fmt.Fprintf(&request, "POST /%s HTTP/1.1\r\nHost: sender\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n"+
+		"X-Consignee: dest=%d\r\nContent-Length: %d\r\n", grade, id, grade, int(remaining), e.Destination, e.Body)
 	if e.Portfolio < len(w.Names.Portfolios) {
-		fmt.Fprintf(&b, "Tenant: %s\r\n", w.Names.Portfolios[e.Portfolio])
+		fmt.Fprintf(&request, "Tenant: %s\r\n", w.Names.Portfolios[e.Portfolio])
 	}
 	if e.mark != "" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", e.mark)
+		fmt.Fprintf(&request, "Idempotency-Key: %s\r\n", e.mark)
 	}
 	if e.Key > 0 {
-		fmt.Fprintf(&b, "Affinity-Key: k%d\r\n", e.Key)
+		fmt.Fprintf(&request, "Affinity-Key: k%d\r\n", e.Key)
 	}
 	if retry != "" {
-		fmt.Fprintf(&b, "Client-Retry: %s\r\n", retry)
+		fmt.Fprintf(&request, "Client-Retry: %s\r\n", retry)
 	}
-	b.WriteString("\r\n")
-	b.Write(bytes.Repeat([]byte{'b'}, e.Body))
-	for fresh := false; ; fresh = true {
-		l := c.pools[sender].take()
-		if l == nil || fresh {
-			if l != nil {
-				l.Close()
+	request.WriteString("\r\n")
+	request.Write(bytes.Repeat([]byte{'b'}, e.Body))
+	for newConnection := false; ; newConnection = true {
+		current := c.pools[sender].take()
+		if current == nil || newConnection {
+			if current != nil {
+				current.Close()
 			}
-			conn, err := net.DialTimeout("tcp", c.names[sender], time.Until(deadline))
+			conn, err := net.DialTimeout("tcp", c.addresses[sender], time.Until(deadline))
 			if err != nil {
 				return 0, 0, sent
 			}
-			l, fresh = &link{Conn: conn, in: bufio.NewReaderSize(conn, 512)}, true
+			current, newConnection = &clientConn{Conn: conn, reader: bufio.NewReaderSize(conn, 512)}, true
 		}
-		l.SetDeadline(deadline)
-		if _, err := l.Write(b.Bytes()); err != nil {
-			l.Close()
-			if !fresh {
+		current.SetDeadline(deadline)
+		if _, err := current.Write(request.Bytes()); err != nil {
+			current.Close()
+			if !newConnection {
 				continue
 			}
 			return 0, 0, true
 		}
 		sent = true
-		answer := fasthttp.AcquireResponse()
-		defer fasthttp.ReleaseResponse(answer)
-		if err := answer.Read(l.in); err != nil {
-			l.Close()
+		response := fasthttp.AcquireResponse()
+		defer fasthttp.ReleaseResponse(response)
+		if err := response.Read(current.reader); err != nil {
+			current.Close()
 			// A kept connection that the sender closed before it read the request: once more on a new one.
-			if !fresh && (errors.Is(err, io.EOF) || errors.As(err, &fasthttp.ErrNothingRead{})) && time.Now().Before(deadline) {
+			if !newConnection && (errors.Is(err, io.EOF) || errors.As(err, &fasthttp.ErrNothingRead{})) && time.Now().Before(deadline) {
 				continue
 			}
 			return 0, 0, true
 		}
-		if told := answer.Header.Peek("Retry-After"); len(told) > 0 {
-			if s, err := strconv.ParseFloat(string(told), 64); err == nil {
-				after = rules.Millis(s * 1000)
+		if header := response.Header.Peek("Retry-After"); len(header) > 0 {
+			if s, err := strconv.ParseFloat(string(header), 64); err == nil {
+				retryAfter = rules.Millis(s * 1000)
 			}
 		}
-		if answer.ConnectionClose() {
-			l.Close()
+		if response.ConnectionClose() {
+			current.Close()
 		} else {
-			c.pools[sender].put(l)
+			c.pools[sender].put(current)
 		}
-		return answer.StatusCode(), after, true
+		return response.StatusCode(), retryAfter, true
 	}
 }
 
@@ -350,34 +350,34 @@
 }
 
 // hostile plays bad clients while a fault lasts.
-func (c *Clients) hostile(f scenario.Fault, draw *rand.Rand) {
-	defer c.handing.Done()
-	if !c.stage.at(f.At) {
+func (c *Clients) runHostileClients(fault scenario.Fault, random *rand.Rand) {
+	defer c.inFlight.Done()
+	if !c.env.waitUntil(fault.At) {
 		return
 	}
-	var all sync.WaitGroup
-	for range int(max(f.Size, 1)) {
-		kind, seed := draw.IntN(len(bad)+1), draw.Uint64()
-		all.Add(1)
+	var clients sync.WaitGroup
+	for range int(max(fault.Size, 1)) {
+		kind, seed := random.IntN(len(hostileRequests)+1), random.Uint64()
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			own := rand.New(rand.NewPCG(seed, 1))
-			for c.stage.Clock.Now() < f.Until() && c.stage.sleep(10*time.Millisecond) {
-				to := c.names[own.IntN(len(c.names))]
-				if kind == len(bad) {
-					c.neverRead(to, f.Until())
+			defer clients.Done()
+			clientRandom := rand.New(rand.NewPCG(seed, 1))
+			for c.env.Clock.Now() < fault.Until() && c.env.sleep(10*time.Millisecond) {
+				address := c.addresses[clientRandom.IntN(len(c.addresses))]
+				if kind == len(hostileRequests) {
+					c.sendWithoutReading(address, fault.Until())
 				} else {
-					c.offend(to, bad[kind](own))
+					c.sendInvalid(address, hostileRequests[kind](clientRandom))
 				}
-				kind = own.IntN(len(bad) + 1)
+				kind = clientRandom.IntN(len(hostileRequests) + 1)
 			}
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 }
 
 // bad makes what bad clients send; empty: they say nothing.
-var bad = []func(draw *rand.Rand) string{
+var hostileRequests = []func(draw *rand.Rand) string{
 	func(*rand.Rand) string { return "" },
 	func(*rand.Rand) string { return "\x16\x03\x01\x02\x00 hello\r\n\r\n" },
 	func(*rand.Rand) string {
@@ -396,24 +396,24 @@
 }
 
 // neverRead asks on and on and reads no answer.
-func (c *Clients) neverRead(address string, until rules.Millis) {
+func (c *Clients) sendWithoutReading(address string, until rules.Millis) {
 	conn, err := net.DialTimeout("tcp", address, 400*time.Millisecond)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	c.Bad.Add(1)
-	text := []byte(strings.Repeat("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n", 100))
-	conn.SetWriteDeadline(time.Now().Add(min(max(c.stage.Clock.Until(until), 0), 2*time.Second)))
+	requests := []byte(strings.Repeat("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n", 100))
+	conn.SetWriteDeadline(time.Now().Add(min(max(c.env.Clock.Until(until), 0), 2*time.Second)))
 	for {
-		if _, err := conn.Write(text); err != nil {
+		if _, err := conn.Write(requests); err != nil {
 			return
 		}
 	}
 }
 
 // offend sends what is bad and notes whether it got an error or a close within 3 s.
-func (c *Clients) offend(address, text string) {
+func (c *Clients) sendInvalid(address, request string) {
 	conn, err := net.DialTimeout("tcp", address, 400*time.Millisecond)
 	if err != nil {
 		return // a sender that is away
@@ -421,15 +421,15 @@
 	defer conn.Close()
 	c.Bad.Add(1)
 	conn.SetDeadline(time.Now().Add(3200 * time.Millisecond))
-	io.WriteString(conn, text)
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	var late net.Error
-	isLate := false
+	io.WriteString(conn, request)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	var netErr net.Error
+	timedOut := false
 	if err != nil {
-		late, isLate = err.(net.Error)
-		isLate = isLate && late.Timeout()
+		netErr, timedOut = err.(net.Error)
+		timedOut = timedOut && netErr.Timeout()
 	}
-	if isLate || err == nil && !slices.Contains([]int{400, 404, 405, 408, 413, 431, 501, 503, 505}, answer.StatusCode) {
+	if timedOut || err == nil && !slices.Contains([]int{400, 404, 405, 408, 413, 431, 501, 503, 505}, response.StatusCode) {
 		c.BadOpen.Add(1)
 	}
 }
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -42,17 +42,17 @@
 
 // Gateways is all destinations of a run.
 type Gateways struct {
-	stage *Stage
+	env *Stage
 	// Script answers calls in place of the scenario's shapes, for tests.
 	Script func(*Asked) Reply
 
-	mu        sync.Mutex
-	dests     map[int]*dest
-	receivers map[string]*receiver
+	mu           sync.Mutex
+	destinations map[int]*destination
+	receivers    map[string]*receiver
 }
 
 // dest is one destination.
-type dest struct {
+type destination struct {
 	*gateway.Site // under mu
 	mu            sync.Mutex
 	open          int // connections
@@ -60,39 +60,39 @@
 
 // receiver is one of its receivers.
 type receiver struct {
-	id, address string
-	all         *Gateways
-	dest        *dest
-	mu          sync.Mutex
-	listener    *net.TCPListener
-	conns       map[net.Conn]bool
-	fillers     []net.Conn // connections that keep others from coming up
-	paused      chan struct{}
-	resetsUntil time.Time // what the kernel had let up while nobody accepted is reset
-	closed      bool
+	id, address  string
+	gateways     *Gateways
+	destination  *destination
+	mu           sync.Mutex
+	listener     *net.TCPListener
+	conns        map[net.Conn]bool
+	queueFillers []net.Conn // connections that keep others from coming up
+	paused       chan struct{}
+	resetsUntil  time.Time // what the kernel had let up while nobody accepted is reset
+	closed       bool
 }
 
 // NewGateways opens the receivers of a world.
-func NewGateways(s *Stage) (*Gateways, error) {
-	g := &Gateways{stage: s, dests: map[int]*dest{}, receivers: map[string]*receiver{}}
-	for _, d := range s.World.Destinations {
-		own := &dest{Site: gateway.NewSite(s.World, d)}
-		g.dests[d.Number] = own
+func NewGateways(env *Stage) (*Gateways, error) {
+	g := &Gateways{env: env, destinations: map[int]*destination{}, receivers: map[string]*receiver{}}
+	for _, d := range env.World.Destinations {
+		opened := &destination{Site: gateway.NewSite(env.World, d)}
+		g.destinations[d.Number] = opened
 		for _, id := range d.Receivers {
 			if err := g.Open(id, d.Number); err != nil {
 				return nil, err
 			}
 		}
-		go g.watchOutages(own)
+		go g.watchOutages(opened)
 	}
 	return g, nil
 }
 
 // watchOutages tells a destination when its outages begin and end.
-func (g *Gateways) watchOutages(d *dest) {
+func (g *Gateways) watchOutages(d *destination) {
 	for at := rules.Millis(0); ; {
 		next := d.NextOutage(at)
-		if next < 0 || !g.stage.at(next) {
+		if next < 0 || !g.env.waitUntil(next) {
 			return
 		}
 		at = next
@@ -103,32 +103,32 @@
 }
 
 // Open begins a receiver of a destination under a new id.
-func (g *Gateways) Open(id string, destination int) error {
-	l, err := g.stage.Listen()
+func (g *Gateways) Open(id string, number int) error {
+	l, err := g.env.Listen()
 	if err != nil {
 		return err
 	}
-	return g.open(id, destination, l)
+	return g.open(id, number, l)
 }
 
 // OpenAt begins a receiver at an address.
-func (g *Gateways) OpenAt(id string, destination int, address string) error {
+func (g *Gateways) OpenAt(id string, number int, address string) error {
 	l, err := listenOn(address)
 	if err != nil {
 		return fmt.Errorf("opening receiver %s: %w", id, err)
 	}
-	return g.open(id, destination, l)
+	return g.open(id, number, l)
 }
 
-func (g *Gateways) open(id string, destination int, l net.Listener) error {
-	r := &receiver{id: id, address: l.Addr().String(), all: g, dest: g.dests[destination], listener: l.(*net.TCPListener),
+func (g *Gateways) open(id string, number int, l net.Listener) error {
+	r := &receiver{id: id, address: l.Addr().String(), gateways: g, destination: g.destinations[number], listener: l.(*net.TCPListener),
 		conns: map[net.Conn]bool{}}
 	g.mu.Lock()
 	g.receivers[id] = r
 	g.mu.Unlock()
 	go r.accept(r.listener)
-	go r.followScript()
-	go func() { <-g.stage.done; r.shut() }()
+	go r.followFaults()
+	go func() { <-g.env.done; r.close() }()
 	return nil
 }
 
@@ -139,17 +139,17 @@
 	delete(g.receivers, id)
 	g.mu.Unlock()
 	if r != nil {
-		r.shut()
+		r.close()
 	}
 }
 
 // Block keeps new connections to a receiver from coming up until Unblock.
-func (g *Gateways) Block(id string) error { return g.with(id, (*receiver).block) }
+func (g *Gateways) Block(id string) error { return g.withReceiver(id, (*receiver).block) }
 
 // Unblock lets new connections to a receiver come up again.
-func (g *Gateways) Unblock(id string) error { return g.with(id, (*receiver).unblock) }
+func (g *Gateways) Unblock(id string) error { return g.withReceiver(id, (*receiver).unblock) }
 
-func (g *Gateways) with(id string, do func(*receiver)) error {
+func (g *Gateways) withReceiver(id string, do func(*receiver)) error {
 	g.mu.Lock()
 	r := g.receivers[id]
 	g.mu.Unlock()
@@ -170,7 +170,7 @@
 	return ""
 }
 
-func (r *receiver) shut() {
+func (r *receiver) close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
@@ -213,7 +213,7 @@
 			return
 		}
 		r.mu.Unlock()
-		if !r.all.stage.sleep(20 * time.Millisecond) {
+		if !r.gateways.env.sleep(20 * time.Millisecond) {
 			return
 		}
 	}
@@ -228,10 +228,10 @@
 	}
 	r.paused = make(chan struct{})
 	r.listener.SetDeadline(time.Unix(1, 0))
-	backlog(r.listener, 0)
+	setBacklog(r.listener, 0)
 	for range 2 {
 		if c, err := net.DialTimeout("tcp", r.address, 50*time.Millisecond); err == nil {
-			r.fillers = append(r.fillers, c)
+			r.queueFillers = append(r.queueFillers, c)
 		}
 	}
 }
@@ -245,19 +245,19 @@
 	close(r.paused)
 	r.paused = nil
 	r.resetsUntil = time.Now().Add(30 * time.Millisecond)
-	for _, c := range r.fillers {
+	for _, c := range r.queueFillers {
 		c.Close()
 	}
-	r.fillers = nil
+	r.queueFillers = nil
 	if r.listener != nil {
 		r.listener.SetDeadline(time.Time{})
-		backlog(r.listener, 4096)
+		setBacklog(r.listener, 4096)
 	}
 }
 
 // followScript opens, closes and blocks the receiver as the faults say.
-func (r *receiver) followScript() {
-	faults := r.dest.Faults
+func (r *receiver) followFaults() {
+	faults := r.destination.Faults
 	for at := rules.Millis(0); ; {
 		refused, blocked := false, false
 		for _, f := range faults {
@@ -268,7 +268,7 @@
 				blocked = blocked || f.Active(at)
 			}
 		}
-		if r.all.stage.Clock.Now() >= 0 {
+		if r.gateways.env.Clock.Now() >= 0 {
 			if refused {
 				r.refuse()
 			} else {
@@ -286,7 +286,7 @@
 				next = n
 			}
 		}
-		if next < 0 || !r.all.stage.at(next) {
+		if next < 0 || !r.gateways.env.waitUntil(next) {
 			return
 		}
 		at = next
@@ -299,23 +299,23 @@
 		if err != nil {
 			r.mu.Lock()
 			paused := r.paused
-			mine := r.listener == l
+			current := r.listener == l
 			r.mu.Unlock()
 			switch {
-			case !mine:
+			case !current:
 				return
 			case paused != nil:
 				select {
 				case <-paused:
-				case <-r.all.stage.done:
+				case <-r.gateways.env.done:
 					return
 				}
-			case !r.all.stage.sleep(time.Millisecond):
+			case !r.gateways.env.sleep(time.Millisecond):
 				return
 			}
 			continue
 		}
-		d := r.dest
+		d := r.destination
 		d.mu.Lock()
 		full := d.Group.Shape.Connections > 0 && d.open >= d.Group.Shape.Connections
 		if !full {
@@ -342,55 +342,55 @@
 }
 
 // read is a request as it came.
-type read struct {
+type receivedRequest struct {
 	first, last    rules.Millis
 	id, mark, path string
 	body           []byte
 }
 
 // line is a connection from a sender, which one goroutine serves.
-type line struct {
+type connection struct {
 	net.Conn
-	in   *bufio.Reader
-	gone chan struct{} // closed when the sender has ended it; nil while nobody looks
-	next chan struct{} // closed when there is something to read, or the end
-	ours atomic.Bool   // it ended from the gateway's side
+	reader        *bufio.Reader
+	peerClosed    chan struct{} // closed when the sender has ended it; nil while nobody looks
+	readable      chan struct{} // closed when there is something to read, or the end
+	closedLocally atomic.Bool   // it ended from the gateway's side
 
-	received int        // calls
-	doubtful []answered // that a sender may have taken for other calls' answers if the connection ends now
+	callCount   int            // calls
+	retractable []answeredCall // that a sender may have taken for other calls' answers if the connection ends now
 }
 
 // answered is a call with the status of its answer.
-type answered struct {
+type answeredCall struct {
 	call   *audit.Call
 	status int
 }
 
 // doubtfulKept is how many calls of a connection are told when it ends.
-const doubtfulKept = 64
+const maxRetractable = 64
 
 // noteAnswered keeps a call that was answered. Of the calls before it goes which a like answer has followed that the sender must have heard,
 // which it need not have heard of the last one.
-func (l *line) noteAnswered(call *audit.Call, status int) {
-	last := len(l.doubtful) - 1
+func (l *connection) recordResponse(call *audit.Call, status int) {
+	last := len(l.retractable) - 1
 	switch {
-	case last > 0 && l.doubtful[last-1].status == l.doubtful[last].status:
-		l.doubtful = slices.Delete(l.doubtful, last-1, last)
-	case len(l.doubtful) == doubtfulKept:
-		l.doubtful = slices.Delete(l.doubtful, 0, 1)
+	case last > 0 && l.retractable[last-1].status == l.retractable[last].status:
+		l.retractable = slices.Delete(l.retractable, last-1, last)
+	case len(l.retractable) == maxRetractable:
+		l.retractable = slices.Delete(l.retractable, 0, 1)
 	}
-	l.doubtful = append(l.doubtful, answered{call, status})
+	l.retractable = append(l.retractable, answeredCall{call, status})
 }
 
 // noteEnd notes the end of a connection with the calls that were answered on it.
-func (l *line) noteEnd(stage *Stage) {
-	at := stage.Clock.Now()
-	for i, a := range l.doubtful {
-		last := i == len(l.doubtful)-1
-		stage.Record.Change(a.call, func(c *audit.Call) {
+func (l *connection) recordEnd(env *Stage) {
+	at := env.Clock.Now()
+	for i, a := range l.retractable {
+		last := i == len(l.retractable)-1
+		env.Record.Update(a.call, func(c *audit.Call) {
 			c.Ended = at
 			// An answer that a reset follows may never have been read.
-			if last && l.ours.Load() && c.Closed == 0 {
+			if last && l.closedLocally.Load() && c.Closed == 0 {
 				c.Closed = at
 			}
 		})
@@ -398,23 +398,23 @@
 }
 
 // watch looks, beside whoever serves the connection, whether the sender ends it.
-func (l *line) watch() <-chan struct{} {
-	if l.gone == nil {
-		l.gone, l.next = make(chan struct{}), make(chan struct{})
+func (l *connection) watchPeer() <-chan struct{} {
+	if l.peerClosed == nil {
+		l.peerClosed, l.readable = make(chan struct{}), make(chan struct{})
 		go func(gone, next chan struct{}) {
 			defer close(next)
-			if !l.peek() {
+			if !l.peekByte() {
 				close(gone)
 			}
-		}(l.gone, l.next)
+		}(l.peerClosed, l.readable)
 	}
-	return l.gone
+	return l.peerClosed
 }
 
 // ended tells whether the sender has ended the connection, or its sending side.
-func (l *line) ended() bool {
+func (l *connection) peerEnded() bool {
 	select {
-	case <-l.watch():
+	case <-l.watchPeer():
 		return true
 	default:
 		return false
@@ -422,23 +422,23 @@
 }
 
 // await waits until there is something to read.
-func (l *line) await(done <-chan struct{}) bool {
-	if l.next != nil {
+func (l *connection) awaitReadable(done <-chan struct{}) bool {
+	if l.readable != nil {
 		select {
-		case <-l.next:
+		case <-l.readable:
 		case <-done:
 			return false
 		}
-		l.gone, l.next = nil, nil
+		l.peerClosed, l.readable = nil, nil
 	}
-	return l.peek()
+	return l.peekByte()
 }
 
 // peek waits for the next byte, and notes whose end it was if none comes.
-func (l *line) peek() bool {
-	_, err := l.in.Peek(1)
+func (l *connection) peekByte() bool {
+	_, err := l.reader.Peek(1)
 	if errors.Is(err, net.ErrClosed) {
-		l.ours.Store(true)
+		l.closedLocally.Store(true)
 	}
 	return err == nil
 }
@@ -450,232 +450,232 @@
 		r.mu.Lock()
 		delete(r.conns, c)
 		r.mu.Unlock()
-		r.dest.mu.Lock()
-		r.dest.open--
-		r.dest.mu.Unlock()
+		r.destination.mu.Lock()
+		r.destination.open--
+		r.destination.mu.Unlock()
 	}()
-	l := &line{Conn: c, in: bufio.NewReaderSize(c, 4096)}
-	defer l.noteEnd(r.all.stage)
+	l := &connection{Conn: c, reader: bufio.NewReaderSize(c, 4096)}
+	defer l.recordEnd(r.gateways.env)
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
-	for l.await(r.all.stage.done) {
-		q, ok := r.receive(l, request)
-		if !ok || !r.answer(l, q) {
+	for l.awaitReadable(r.gateways.env.done) {
+		received, ok := r.receive(l, request)
+		if !ok || !r.respond(l, received) {
 			return
 		}
 	}
 }
 
 // receive reads a request.
-func (r *receiver) receive(l *line, request *fasthttp.Request) (read, bool) {
-	stage := r.all.stage
-	q := read{first: stage.Clock.Now()}
-	if r.hold(scenario.Silent) {
+func (r *receiver) receive(l *connection, request *fasthttp.Request) (receivedRequest, bool) {
+	env := r.gateways.env
+	received := receivedRequest{first: env.Clock.Now()}
+	if r.waitOutFault(scenario.Silent) {
 		reset(l.Conn)
-		return q, false
+		return received, false
 	}
-	if _, struck := r.strike(scenario.ResetBefore, -1); struck {
-		stage.Record.Call(audit.Call{Receiver: r.id, Dest: r.dest.Number, First: q.first, Last: q.first, Unread: true,
+	if _, drawn := r.drawFault(scenario.ResetBefore, -1); drawn {
+		env.Record.Call(audit.Call{Receiver: r.id, Dest: r.destination.Number, First: received.first, Last: received.first, Unread: true,
 			Fault: scenario.ResetBefore})
 		reset(l.Conn)
-		return q, false
+		return received, false
 	}
-	if request.ReadLimitBody(l.in, 1<<20) != nil {
-		return q, false
+	if request.ReadLimitBody(l.reader, 1<<20) != nil {
+		return received, false
 	}
-	q.id, q.mark = string(request.Header.Peek("Request-Id")), string(request.Header.Peek("Idempotency-Key"))
-	q.path, q.body, q.last = string(request.URI().Path()), request.Body(), stage.Clock.Now()
-	return q, true
+	received.id, received.mark = string(request.Header.Peek("Request-Id")), string(request.Header.Peek("Idempotency-Key"))
+	received.path, received.body, received.last = string(request.URI().Path()), request.Body(), env.Clock.Now()
+	return received, true
 }
 
 // hold waits while a fault acts, and tells whether it did.
-func (r *receiver) hold(kind string) bool {
-	held := false
+func (r *receiver) waitOutFault(kind string) bool {
+	waited := false
 	for {
-		f, on := r.active(kind)
+		f, on := r.activeFault(kind)
 		if !on {
-			return held
+			return waited
 		}
-		held = true
-		if !r.all.stage.at(max(f.Next(r.all.stage.Clock.Now()), r.all.stage.Clock.Now()+1)) {
+		waited = true
+		if !r.gateways.env.waitUntil(max(f.Next(r.gateways.env.Clock.Now()), r.gateways.env.Clock.Now()+1)) {
 			return true
 		}
 	}
 }
 
-func (r *receiver) active(kind string) (scenario.Fault, bool) {
-	return r.dest.Active(kind, r.all.stage.Clock.Now())
+func (r *receiver) activeFault(kind string) (scenario.Fault, bool) {
+	return r.destination.Active(kind, r.gateways.env.Clock.Now())
 }
 
 // strike draws whether a fault strikes a call of a grade, -1 for any.
-func (r *receiver) strike(kind string, grade int) (scenario.Fault, bool) {
-	r.dest.mu.Lock()
-	defer r.dest.mu.Unlock()
-	return r.dest.Strike(kind, grade, r.all.stage.Clock.Now())
+func (r *receiver) drawFault(kind string, grade int) (scenario.Fault, bool) {
+	r.destination.mu.Lock()
+	defer r.destination.mu.Unlock()
+	return r.destination.Strike(kind, grade, r.gateways.env.Clock.Now())
 }
 
 // fate is what happens to a call: what the destination decides, or a test's script.
-type fate struct {
+type plannedResponse struct {
 	Reply
-	at     rules.Millis // when the answer is due
-	wait   rules.Millis
-	slow   bool // a byte a second
-	spoilt bool
-	fault  string
-	unseen bool // lost before it was looked at
+	due           rules.Millis // when the answer is due
+	requestedWait rules.Millis
+	slow          bool // a byte a second
+	malformed     bool
+	fault         string
+	lostUnseen    bool // lost before it was looked at
 }
 
 // decide says what happens to a call.
-func (r *receiver) decide(now rules.Millis, sender, grade int) fate {
-	d := r.dest
+func (r *receiver) decide(now rules.Millis, sender, grade int) plannedResponse {
+	d := r.destination
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.Decide(now, sender, grade)
-	if f.Fell {
-		r.all.stage.Record.Fell(audit.Fall{Dest: d.Number, At: now, By: d.Core.Pushed(), Seen: d.SeenBy()})
+	verdict := d.Decide(now, sender, grade)
+	if verdict.Fell {
+		r.gateways.env.Record.Overloaded(audit.Fall{Dest: d.Number, At: now, By: d.Core.Pushed(), Seen: d.SeenBy()})
 	}
-	return fate{Reply: Reply{Status: f.Status, Fields: f.Fields, Raw: f.Raw, Reset: f.Reset, Never: f.Never, Ran: f.Ran},
-		at: f.At, wait: f.Wait, slow: f.Slow, spoilt: f.Spoilt, fault: f.Fault, unseen: f.Unseen}
+	return plannedResponse{Reply: Reply{Status: verdict.Status, Fields: verdict.Fields, Raw: verdict.Raw, Reset: verdict.Reset, Never: verdict.Never, Ran: verdict.Ran},
+		due: verdict.At, requestedWait: verdict.Wait, slow: verdict.Slow, malformed: verdict.Spoilt, fault: verdict.Fault, lostUnseen: verdict.Unseen}
 }
 
 // answer answers one call, and tells whether the connection goes on.
-func (r *receiver) answer(c *line, q read) bool {
-	stage, id, mark := r.all.stage, q.id, q.mark
-	hand, known := stage.Record.HandOf(id)
-	noted := audit.Call{ID: id, Receiver: r.id, Mark: mark, Dest: r.dest.Number, Apart: r.apart(), First: q.first, Last: q.last,
-		Before: c.received}
-	c.received++
-	var f fate
+func (r *receiver) respond(c *connection, received receivedRequest) bool {
+	env, id, mark := r.gateways.env, received.id, received.mark
+	submission, known := env.Record.SubmissionOf(id)
+	observed := audit.Call{ID: id, Receiver: r.id, Mark: mark, Dest: r.destination.Number, Apart: r.hasSeparateRoutes(), First: received.first, Last: received.last,
+		Before: c.callCount}
+	c.callCount++
+	var planned plannedResponse
 	switch {
-	case r.all.Script != nil:
-		f.Reply = r.all.Script(&Asked{ID: id, Mark: mark, Receiver: r.id, Remote: c.RemoteAddr().String(), Path: q.path,
-			Body: q.body, Gone: c.watch()})
-		f.at = stage.Clock.Now() + rules.Millis(f.After)/1e6
-	case !known && !stage.Strangers:
-		f = fate{Reply: Reply{Status: 400}, at: q.last}
+	case r.gateways.Script != nil:
+		planned.Reply = r.gateways.Script(&Asked{ID: id, Mark: mark, Receiver: r.id, Remote: c.RemoteAddr().String(), Path: received.path,
+			Body: received.body, Gone: c.watchPeer()})
+		planned.due = env.Clock.Now() + rules.Millis(planned.After)/1e6
+	case !known && !env.Strangers:
+		planned = plannedResponse{Reply: Reply{Status: 400}, due: received.last}
 	default:
 		if !known {
-			hand.Sender, hand.Grade = -1, -1
+			submission.Sender, submission.Grade = -1, -1
 		}
-		f = r.decide(q.last, hand.Sender, hand.Grade)
+		planned = r.decide(received.last, submission.Sender, submission.Grade)
 	}
-	noted.Ran, noted.Fault, noted.Unread = f.Ran, f.fault, f.unseen
-	call := stage.Record.Call(noted)
-	closed := func() {
-		at := stage.Clock.Now()
-		stage.Record.Change(call, func(c *audit.Call) { c.Closed = at })
+	observed.Ran, observed.Fault, observed.Unread = planned.Ran, planned.fault, planned.lostUnseen
+	call := env.Record.Call(observed)
+	recordClosed := func() {
+		at := env.Clock.Now()
+		env.Record.Update(call, func(c *audit.Call) { c.Closed = at })
 	}
-	if wait := max(stage.Clock.Until(f.at), f.After); wait > 0 || f.Never {
+	if wait := max(env.Clock.Until(planned.due), planned.After); wait > 0 || planned.Never {
 		due := time.NewTimer(wait)
 		defer due.Stop()
-		if f.Never {
+		if planned.Never {
 			due.Stop()
 		}
 		select {
 		case <-due.C:
-		case <-c.watch():
-			closed()
+		case <-c.watchPeer():
+			recordClosed()
 			return false
-		case <-stage.done:
+		case <-env.done:
 			return false
 		}
 	}
-	if r.hold(scenario.Silent) {
-		closed()
+	if r.waitOutFault(scenario.Silent) {
+		recordClosed()
 		reset(c.Conn)
 		return false
 	}
-	r.holdPause()
-	if r.all.Script == nil && c.ended() {
-		closed() // the sender has given the call up meanwhile: nothing is answered to it any more
+	r.waitOutPause()
+	if r.gateways.Script == nil && c.peerEnded() {
+		recordClosed() // the sender has given the call up meanwhile: nothing is answered to it any more
 		return false
 	}
-	if f.Raw == "" && !f.Reset {
-		f.Raw = compose(f.Reply)
+	if planned.Raw == "" && !planned.Reset {
+		planned.Raw = formatResponse(planned.Reply)
 	}
-	if f.Raw != "" {
-		if !r.write(c, call, f) {
-			closed()
+	if planned.Raw != "" {
+		if !r.writeResponse(c, call, planned) {
+			recordClosed()
 			return false
 		}
 	}
 	switch {
-	case f.Reset:
-		closed()
+	case planned.Reset:
+		recordClosed()
 		reset(c.Conn)
 		return false
-	case f.spoilt:
+	case planned.malformed:
 		// The connection stays open and is of no further use.
 		select {
-		case <-c.watch():
-		case <-stage.done:
+		case <-c.watchPeer():
+		case <-env.done:
 		}
 		return false
 	}
-	return !f.Close
+	return !planned.Close
 }
 
 // holdPause waits while nothing moves.
-func (r *receiver) holdPause() { r.hold(scenario.Pauses) }
+func (r *receiver) waitOutPause() { r.waitOutFault(scenario.Pauses) }
 
-func (r *receiver) apart() bool {
-	for i, name := range r.all.stage.World.Names.Kinds {
-		if name == r.dest.Group.Kind {
-			return r.all.stage.World.Settings.Kinds[i].Apart
+func (r *receiver) hasSeparateRoutes() bool {
+	for i, name := range r.gateways.env.World.Names.Kinds {
+		if name == r.destination.Group.Kind {
+			return r.gateways.env.World.Settings.Kinds[i].Apart
 		}
 	}
 	return false
 }
 
-func compose(r Reply) string {
-	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n", r.Status, http.StatusText(r.Status))
-	for _, field := range r.Fields {
+func formatResponse(reply Reply) string {
+	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n", reply.Status, http.StatusText(reply.Status))
+	for _, field := range reply.Fields {
 		text += field + "\r\n"
 	}
-	if r.Close {
+	if reply.Close {
 		text += "Connection: close\r\n"
 	}
-	return text + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(r.Body), r.Body)
+	return text + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(reply.Body), reply.Body)
 }
 
 // write writes an answer and notes when its first line was out.
-func (r *receiver) write(c *line, call *audit.Call, f fate) bool {
-	stage := r.all.stage
-	note := func() {
-		at := stage.Clock.Now()
-		stage.Record.Change(call, func(c *audit.Call) {
-			c.Replied, c.Status, c.Wait, c.Spoilt = at, f.Status, f.wait, f.spoilt
-			c.Delivered, c.Unfinished = f.Status == 200, f.slow
+func (r *receiver) writeResponse(c *connection, call *audit.Call, planned plannedResponse) bool {
+	env := r.gateways.env
+	recordWritten := func() {
+		at := env.Clock.Now()
+		env.Record.Update(call, func(c *audit.Call) {
+			c.Replied, c.Status, c.Wait, c.Spoilt = at, planned.Status, planned.requestedWait, planned.malformed
+			c.Delivered, c.Unfinished = planned.Status == 200, planned.slow
 		})
 	}
-	if !f.slow {
-		note()
-		c.noteAnswered(call, f.Status)
-		_, err := io.WriteString(c, f.Raw)
+	if !planned.slow {
+		recordWritten()
+		c.recordResponse(call, planned.Status)
+		_, err := io.WriteString(c, planned.Raw)
 		if err != nil {
-			stage.Record.Change(call, func(c *audit.Call) { c.Delivered, c.Status = false, 0 })
+			env.Record.Update(call, func(c *audit.Call) { c.Delivered, c.Status = false, 0 })
 		}
 		return err == nil
 	}
-	line := 0
-	for line < len(f.Raw) && f.Raw[line] != '\n' {
-		line++
+	lineEnd := 0
+	for lineEnd < len(planned.Raw) && planned.Raw[lineEnd] != '\n' {
+		lineEnd++
 	}
-	for i := range len(f.Raw) {
-		if i == line {
-			note()
+	for i := range len(planned.Raw) {
+		if i == lineEnd {
+			recordWritten()
 		}
-		if _, err := c.Write([]byte{f.Raw[i]}); err != nil {
+		if _, err := c.Write([]byte{planned.Raw[i]}); err != nil {
 			return false
 		}
 		select {
 		case <-time.After(time.Second):
-		case <-c.watch():
+		case <-c.watchPeer():
 			return false
-		case <-stage.done:
+		case <-env.done:
 			return false
 		}
 	}
-	stage.Record.Change(call, func(c *audit.Call) { c.Unfinished = false })
+	env.Record.Update(call, func(c *audit.Call) { c.Unfinished = false })
 	return true
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -19,7 +19,7 @@
 
 // Platform tells the list of receivers and takes the notices of ends. It has an address for each sender.
 type Platform struct {
-	stage    *Stage
+	env      *Stage
 	gateways *Gateways
 
 	mu        sync.Mutex
@@ -36,27 +36,27 @@
 }
 
 // NewPlatform opens a platform for a number of senders and lists the gateways' receivers.
-func NewPlatform(s *Stage, g *Gateways, senders int) (*Platform, error) {
-	p := &Platform{stage: s, gateways: g, members: map[string]directory.Member{}, changed: map[string]int64{}, wake: make(chan struct{})}
-	for _, d := range s.World.Destinations {
+func NewPlatform(env *Stage, g *Gateways, senders int) (*Platform, error) {
+	p := &Platform{env: env, gateways: g, members: map[string]directory.Member{}, changed: map[string]int64{}, wake: make(chan struct{})}
+	for _, d := range env.World.Destinations {
 		for _, id := range d.Receivers {
-			p.members[id] = p.member(d, id, "ready")
+			p.members[id] = p.newMember(d, id, "ready")
 			p.changed[id] = 1
 		}
 	}
 	p.revision = 1
 	for sender := range senders {
-		if err := p.Listen(sender, s.Free()); err != nil {
+		if err := p.Listen(sender, env.Free()); err != nil {
 			return nil, err
 		}
 	}
-	go p.followScript()
+	go p.followFaults()
 	return p, nil
 }
 
 // Listen gives a sender one more address; Address tells the last one.
 func (p *Platform) Listen(sender int, address string) error {
-	l, err := p.stage.Listen()
+	l, err := p.env.Listen()
 	if address != "" && err == nil {
 		l.Close()
 		l, err = listenOn(address)
@@ -73,7 +73,7 @@
 	p.servers = append(p.servers, server)
 	p.mu.Unlock()
 	go server.Serve(l)
-	go func() { <-p.stage.done; server.Close() }()
+	go func() { <-p.env.done; server.Close() }()
 	return nil
 }
 
@@ -84,10 +84,10 @@
 	return p.addresses[sender]
 }
 
-func (p *Platform) member(d *scenario.Destination, id, phase string) directory.Member {
+func (p *Platform) newMember(d *scenario.Destination, id, phase string) directory.Member {
 	m := directory.Member{ID: id, HostPort: p.gateways.Address(id), Flavor: d.Group.Kind, Cell: int64(d.Number), Phase: phase,
 		Size: d.Group.Shape.Limit}
-	if zones := p.stage.World.Names.Zones; len(zones) > 0 {
+	if zones := p.env.World.Names.Zones; len(zones) > 0 {
 		m.Locality = zones[0]
 	}
 	return m
@@ -97,11 +97,11 @@
 func (p *Platform) List() directory.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.since(0)
+	return p.changesSince(0)
 }
 
 // since is what changed after a revision, or with 0 the whole list.
-func (p *Platform) since(revision int64) directory.List {
+func (p *Platform) changesSince(revision int64) directory.List {
 	list := directory.List{Revision: p.revision, Complete: revision == 0, Members: []directory.Member{}}
 	for id, m := range p.members {
 		if p.changed[id] > revision && (revision > 0 || m.Phase != "gone") {
@@ -129,9 +129,9 @@
 	p.wake = make(chan struct{})
 }
 
-func (p *Platform) active(kind string) (scenario.Fault, bool) {
-	now := p.stage.Clock.Now()
-	for _, f := range p.stage.World.Faults {
+func (p *Platform) activeFault(kind string) (scenario.Fault, bool) {
+	now := p.env.Clock.Now()
+	for _, f := range p.env.World.Faults {
 		if f.Kind == kind && f.Active(now) {
 			return f, true
 		}
@@ -147,30 +147,30 @@
 	if p.Answer != nil && p.Answer(sender, w, r, body) {
 		return
 	}
-	if f, on := p.active(scenario.ListSilent); on && r.Method == "GET" {
+	if f, on := p.activeFault(scenario.ListSilent); on && r.Method == "GET" {
 		select {
 		case <-r.Context().Done():
-		case <-time.After(max(p.stage.Clock.Until(f.Until()), 0)):
+		case <-time.After(max(p.env.Clock.Until(f.Until()), 0)):
 		}
 		panic(http.ErrAbortHandler)
 	}
 	switch {
 	case r.Method == "POST" && r.URL.Path == "/v2/finals":
-		p.takeEnds(sender, w, body)
+		p.acceptOutcomes(sender, w, body)
 	case r.Method == "GET" && r.URL.Path == "/discovery/hosts":
-		p.tell(sender, w, r)
+		p.sendList(sender, w, r)
 	default:
 		w.WriteHeader(404)
 	}
 }
 
-func (p *Platform) takeEnds(sender int, w http.ResponseWriter, body []byte) {
-	if _, on := p.active(scenario.EndsRefused); on {
-		p.stage.Record.Shut(audit.Shut{Sender: sender, At: p.stage.Clock.Now()})
+func (p *Platform) acceptOutcomes(sender int, w http.ResponseWriter, body []byte) {
+	if _, on := p.activeFault(scenario.EndsRefused); on {
+		p.env.Record.ReportRefused(audit.Shut{Sender: sender, At: p.env.Clock.Now()})
 		w.WriteHeader(500)
 		return
 	}
-	var ends []directory.End
+	var outcomes []directory.End
 	for lines := bufio.NewScanner(newReader(body)); lines.Scan(); {
 		var e directory.End
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Message == "" ||
@@ -178,22 +178,22 @@
 			w.WriteHeader(400)
 			return
 		}
-		ends = append(ends, e)
+		outcomes = append(outcomes, e)
 	}
-	for _, e := range ends {
-		p.stage.Record.End(audit.End{ID: e.Message, Outcome: e.Outcome, Sender: sender, At: p.stage.Clock.Now()})
+	for _, e := range outcomes {
+		p.env.Record.Outcome(audit.End{ID: e.Message, Outcome: e.Outcome, Sender: sender, At: p.env.Clock.Now()})
 	}
 	w.WriteHeader(204)
 	if p.Ended != nil {
-		for _, e := range ends {
+		for _, e := range outcomes {
 			p.Ended(sender, e)
 		}
 	}
 }
 
-func (p *Platform) tell(sender int, w http.ResponseWriter, r *http.Request) {
-	if _, on := p.active(scenario.ListGarbage); on {
-		p.stage.sleep(50 * time.Millisecond)
+func (p *Platform) sendList(sender int, w http.ResponseWriter, r *http.Request) {
+	if _, on := p.activeFault(scenario.ListGarbage); on {
+		p.env.sleep(50 * time.Millisecond)
 		io.WriteString(w, `{"revision":9,"complete":true,"members":[{"id":"x","phase":`)
 		return
 	}
@@ -209,7 +209,7 @@
 		case <-time.After(time.Duration(hold) * time.Millisecond):
 		case <-r.Context().Done():
 			return
-		case <-p.stage.done:
+		case <-p.env.done:
 			return
 		}
 	}
@@ -217,7 +217,7 @@
 	if !known {
 		from = 0
 	}
-	list := p.since(from)
+	list := p.changesSince(from)
 	p.mu.Unlock()
 	text, _ := json.Marshal(list)
 	w.Header().Set("Content-Length", fmt.Sprint(len(text)))
@@ -226,9 +226,9 @@
 		return
 	}
 	http.NewResponseController(w).Flush()
-	at := p.stage.Clock.Now()
+	at := p.env.Clock.Now()
 	for _, m := range list.Members {
-		p.stage.Record.Told(audit.Told{Receiver: m.ID, Standing: m.Phase, Sender: sender, At: at})
+		p.env.Record.Listed(audit.Told{Receiver: m.ID, Standing: m.Phase, Sender: sender, At: at})
 	}
 }
 
@@ -239,25 +239,25 @@
 }
 
 // followScript drains, replaces and removes receivers.
-func (p *Platform) followScript() {
+func (p *Platform) followFaults() {
 	var steps []step
-	late := p.stage.World.ListDelay
-	for _, d := range p.stage.World.Destinations {
+	delay := p.env.World.ListDelay
+	for _, d := range p.env.World.Destinations {
 		for n, f := range d.Faults {
 			old := d.Receivers
-			fresh := make([]string, len(old))
+			replacements := make([]string, len(old))
 			for i, id := range old {
-				fresh[i] = fmt.Sprintf("%s+%d", id, n+1)
+				replacements[i] = fmt.Sprintf("%s+%d", id, n+1)
 			}
-			list := func(ids []string, phase string) {
+			announce := func(ids []string, phase string) {
 				var members []directory.Member
 				for _, id := range ids {
-					members = append(members, p.member(d, id, phase))
+					members = append(members, p.newMember(d, id, phase))
 				}
 				p.Change(members...)
 			}
 			open := func() {
-				for _, id := range fresh {
+				for _, id := range replacements {
 					p.gateways.Open(id, d.Number)
 				}
 			}
@@ -268,17 +268,17 @@
 			}
 			switch f.Kind {
 			case scenario.Drain:
-				steps = append(steps, step{f.At, open}, step{f.At + late, func() { list(old, "draining"); list(fresh, "ready") }},
-					step{f.Until(), func() { list(old, "gone") }}, step{f.Until() + late + 1500, gone})
+				steps = append(steps, step{f.At, open}, step{f.At + delay, func() { announce(old, "draining"); announce(replacements, "ready") }},
+					step{f.Until(), func() { announce(old, "gone") }}, step{f.Until() + delay + 1500, gone})
 			case scenario.Vanish:
-				steps = append(steps, step{f.At, gone}, step{f.At + late, func() { list(old, "gone") }},
-					step{f.Until(), open}, step{f.Until() + late, func() { list(fresh, "ready") }})
+				steps = append(steps, step{f.At, gone}, step{f.At + delay, func() { announce(old, "gone") }},
+					step{f.Until(), open}, step{f.Until() + delay, func() { announce(replacements, "ready") }})
 			}
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
 	for _, s := range steps {
-		if !p.stage.at(s.at) {
+		if !p.env.waitUntil(s.at) {
 			return
 		}
 		s.run()
--- a/internal/standin/stage.go
+++ b/internal/standin/stage.go
@@ -19,18 +19,18 @@
 )
 
 // Clock tells the scenario's time, which begins with the first notice.
-type Clock struct{ began atomic.Int64 }
+type Clock struct{ startedAt atomic.Int64 }
 
 // Begin starts the scenario's time now.
-func (c *Clock) Begin() { c.began.Store(time.Now().UnixNano()) }
+func (c *Clock) Begin() { c.startedAt.Store(time.Now().UnixNano()) }
 
 // Now is the time in the scenario; below 0 before it begins.
 func (c *Clock) Now() rules.Millis {
-	began := c.began.Load()
-	if began == 0 {
+	startedAt := c.startedAt.Load()
+	if startedAt == 0 {
 		return -1
 	}
-	return rules.Millis(time.Now().UnixNano()-began) / 1e6
+	return rules.Millis(time.Now().UnixNano()-startedAt) / 1e6
 }
 
 // Until is how long it takes from now on to a time in the scenario.
@@ -38,7 +38,9 @@
 	return time.Duration((at - c.Now()) * rules.Millis(time.Millisecond))
 }
 
-func span(m rules.Millis) time.Duration { return time.Duration(m * rules.Millis(time.Millisecond)) }
+func toDuration(m rules.Millis) time.Duration {
+	return time.Duration(m * rules.Millis(time.Millisecond))
+}
 
 // Stage is what all stand-ins of one run share.
 type Stage struct {
@@ -46,18 +48,18 @@
 	Clock  *Clock
 	Record *audit.Record
 	// Strangers lets gateways serve calls for notices that no client of the stage handed in.
-	Strangers bool
-	done      chan struct{}
-	once      sync.Once
-	net       byte // the run's own loopback addresses: 127.net.sub.host
-	sub       byte
-	next      atomic.Int64
+	Strangers     bool
+	done          chan struct{}
+	once          sync.Once
+	netByte       byte // the run's own loopback addresses: 127.net.sub.host
+	subnetByte    byte
+	addressesUsed atomic.Int64
 }
 
 // NewStage prepares a run of a world.
 func NewStage(w *scenario.World) *Stage {
 	return &Stage{World: w, Clock: &Clock{}, Record: audit.NewRecord(), done: make(chan struct{}),
-		net: byte(20 + rand.IntN(200)), sub: byte(1 + rand.IntN(250))}
+		netByte: byte(20 + rand.IntN(200)), subnetByte: byte(1 + rand.IntN(250))}
 }
 
 // Close ends all stand-ins.
@@ -84,7 +86,7 @@
 }
 
 // at waits for a time in the scenario.
-func (s *Stage) at(when rules.Millis) bool {
+func (s *Stage) waitUntil(when rules.Millis) bool {
 	for s.Clock.Now() < when {
 		wait := s.Clock.Until(when)
 		if s.Clock.Now() < 0 || wait > 20*time.Millisecond {
@@ -100,23 +102,23 @@
 // Listen listens on a fresh loopback address of the run's own. Its port is below those that the kernel hands to outgoing
 // connections, so that it can be closed and opened again.
 func (s *Stage) Listen() (net.Listener, error) {
-	var last error
+	var lastErr error
 	for range 200 {
 		l, err := net.Listen("tcp", s.Free())
 		if err == nil {
 			return l, nil
 		}
-		if last = err; !errors.Is(err, syscall.EADDRINUSE) {
+		if lastErr = err; !errors.Is(err, syscall.EADDRINUSE) {
 			break
 		}
 	}
-	return nil, fmt.Errorf("listening on loopback: %w", last)
+	return nil, fmt.Errorf("listening on loopback: %w", lastErr)
 }
 
 // Free is an address that this run has not used yet.
 func (s *Stage) Free() string {
-	n := s.next.Add(1) - 1
-	return fmt.Sprintf("127.%d.%d.%d:%d", s.net, s.sub, 1+n%250, 7000+n/250)
+	n := s.addressesUsed.Add(1) - 1
+	return fmt.Sprintf("127.%d.%d.%d:%d", s.netByte, s.subnetByte, 1+n%250, 7000+n/250)
 }
 
 // Ended tells whether the run is over.
@@ -130,4 +132,4 @@
 }
 
 // At waits for a time in the scenario and tells whether the run goes on.
-func (s *Stage) At(when rules.Millis) bool { return s.at(when) }
+func (s *Stage) At(when rules.Millis) bool { return s.waitUntil(when) }
