--- a/internal/audit/check_test.go
+++ b/internal/audit/check_test.go
@@ -8,7 +8,7 @@
 
 // A delivered notice may also have a final outcome, but only where the sender may retract the response that delivered
 // it: the response may belong to an earlier call of its connection if that connection ended soon afterwards.
-func TestFinalOutcomeOfADeliveredNoticeIsAllowedOnlyWhereItsResponseIsRetractable(t *testing.T) {
+func TestFinalOutcomeAfterDeliveryNeedsRetractableResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		before  int
 		ended   rules.Millis
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -17,7 +17,7 @@
 	Key        int // ordering key; 0: none
 	Dest       int
 	Sender     int
-	At, Until  rules.Millis // times of the submission and of its client timeout
+	At, Until  rules.Millis // times of the submission and of the client timeout
 	Intended   rules.Millis // intended time of the first submission of its effect
 	Again      bool         // a repeated submission of its effect
 	Status     int          // of the sender's response; 0: none
@@ -33,7 +33,7 @@
 	Dest               int
 	Apart              bool         // the destination's receivers are separate routes
 	First, Last        rules.Millis // times of its first and last byte
-	Unread             bool         // the connection was reset before its last byte was read
+	Unread             bool         // the gateway reset the connection before reading it completely, or lost the call unseen
 	Ran                bool         // it took effect
 	Status             int          // of the response; 0: none
 	Spoilt             bool         // the response is malformed and cannot be read to its end
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -24,54 +24,59 @@
 	"github.com/valyala/fasthttp"
 )
 
+// newReader returns a reader of bytes.
 func newReader(b []byte) io.Reader { return bytes.NewReader(b) }
 
+// listenOn listens for TCP connections on an address.
 func listenOn(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// Clients hand in a world's notices at their times, whatever the senders answer.
+// Clients submits the notices of a scenario instance at their times, independently of how fast the senders respond.
 type Clients struct {
 	env        *Stage
-	addresses  []string // senders' addresses
-	usableFrom []atomic.Int64
-	leaving    []atomic.Bool
-	next       atomic.Int64
-	lastNumber atomic.Int64
+	addresses  []string       // senders' addresses
+	usableFrom []atomic.Int64 // by sender: 0 if it is up, -1 once it is down, 1<<62 once that is detected
+	leaving    []atomic.Bool  // by sender: it was told to shut down
+	next       atomic.Int64   // sender to choose next, modulo their number
+	lastNumber atomic.Int64   // last number used in a name or an ID
 	pools      []*pool
-	inFlight   sync.WaitGroup
+	inFlight   sync.WaitGroup // submissions and hostile clients that are running
 
 	mu      sync.Mutex
 	random  *rand.Rand
-	pending map[string]*effect // by the id of its last hand-in, those that may come again
+	pending map[string]*effect // by the ID of the last submission: effects that may be submitted again
 
-	// Answer is told how long each answer took from the intended time on, and its status; 0: none.
+	// Answer is called with the status of each response, 0 if there was none, and the time since the intended
+	// submission.
 	Answer func(status int, took rules.Millis)
-	// Offered and Late count the notices handed in for the first time, and those more than 10 ms after their time.
+	// Offered counts first submissions, and Late those of them that were more than 10 ms after their intended time.
 	Offered, Late atomic.Int64
-	// Bad counts the bad clients' connections, and those of them that got neither an error nor a close in time.
+	// Bad counts the connections of hostile clients, and BadOpen those that got neither an error response nor a close
+	// in time.
 	Bad, BadOpen atomic.Int64
 }
 
-// effect is what a client wants done, however often it hands it in.
+// effect is a piece of work that a client wants done once, however often it submits it.
 type effect struct {
 	scenario.Arrival
 	name    string
-	mark    string
-	firstAt rules.Millis // when it was handed in first
+	mark    string       // idempotency key; empty: none
+	firstAt rules.Millis // intended time of the first submission
 }
 
-// pool is idle connections to one sender.
+// pool holds the idle connections to one sender.
 type pool struct {
 	mu   sync.Mutex
 	idle []*clientConn
 }
 
+// clientConn is a client's connection to a sender.
 type clientConn struct {
 	net.Conn
 	reader   *bufio.Reader
 	lastUsed time.Time
 }
 
-// NewClients makes clients of senders at addresses.
+// NewClients returns clients that submit to the senders at some addresses.
 func NewClients(env *Stage, addresses []string) *Clients {
 	c := &Clients{env: env, addresses: addresses, usableFrom: make([]atomic.Int64, len(addresses)),
 		leaving: make([]atomic.Bool, len(addresses)), random: scenario.Chance(env.World.Seed, 1<<40),
@@ -82,7 +87,8 @@
 	return c
 }
 
-// Run hands in all notices and returns when the last has its answer. What is dismissed later still comes again.
+// Run submits all notices and returns when the last one has its response. Notices that a sender dismisses later are
+// still submitted again.
 func (c *Clients) Run() {
 	for i, fault := range c.env.World.Faults {
 		if fault.Kind == scenario.Hostile {
@@ -112,8 +118,9 @@
 	c.inFlight.Wait()
 }
 
-// waitFor waits for an arrival's time. Go's timers are up to a millisecond late where a process is idle, which would be
-// measured as the sender's: the last part is waited for in the kernel.
+// waitForArrival waits for the time of an arrival and reports whether the run goes on. Go's timers are up to a
+// millisecond late in an idle process, and the measurements would count that as latency of the sender, so the last
+// part of the wait is a sleep in the kernel.
 func (c *Clients) waitForArrival(at rules.Millis) bool {
 	wait := c.env.Clock.Until(at)
 	if wait > 5*time.Millisecond && !c.env.sleep(wait-3*time.Millisecond) {
@@ -125,8 +132,8 @@
 	return !c.env.Ended()
 }
 
-// choose deals notices out over the senders, but for those known to be dead. One that leaves is used as long as a connection
-// to it is open.
+// chooseSender picks senders in turn, except those known to be down. A sender that is leaving is used as long as there
+// is an idle connection to it.
 func (c *Clients) chooseSender() int {
 	n := len(c.addresses)
 	first := int(c.next.Add(1))
@@ -140,14 +147,15 @@
 	return first % n
 }
 
-// Leaving says that a sender was told to leave: the front notices as it does a dead one, and connections that are open
-// are used on.
+// Leaving marks a sender that was told to shut down. The load balancer detects it like one that is down, and open
+// connections to it stay in use.
 func (c *Clients) Leaving(sender int) {
 	c.leaving[sender].Store(true)
 	c.Dead(sender)
 }
 
-// Dead says that a sender is dead from now on, which clients notice after a while; Back that it serves again.
+// Dead marks a sender as down from now on. Clients stop choosing it only after the time in which a load balancer would
+// detect that, unless Back is called before.
 func (c *Clients) Dead(sender int) {
 	detectionTime := c.env.World.FrontNotice
 	go func() {
@@ -158,13 +166,14 @@
 	c.usableFrom[sender].Store(-1)
 }
 
-// Back says that a sender serves again.
+// Back marks a sender as serving again.
 func (c *Clients) Back(sender int) {
 	c.leaving[sender].Store(false)
 	c.usableFrom[sender].Store(0)
 }
 
-// hand hands an effect in.
+// submit submits an effect to a sender, and again later if the response allows it. intended is the time at which this
+// submission should have been made, and retry the value of the Client-Retry header, empty for none.
 func (c *Clients) submit(e *effect, intended rules.Millis, resubmitted bool, retry string) {
 	defer c.inFlight.Done()
 	w, now := c.env.World, c.env.Clock.Now()
@@ -174,9 +183,10 @@
 	}
 	sender := c.chooseSender()
 	id := fmt.Sprintf("n%d-%s", c.lastNumber.Add(1), e.name)
-	// An id is noted before the sender can have it.
-	c.env.Record.Submitted(audit.Hand{ID: id, Effect: e.name, Mark: e.mark, Grade: e.Grade, Portfolio: e.Portfolio, Key: e.Key,
-		Dest: e.Destination, Sender: sender, At: now, Until: now + remaining, Intended: e.firstAt, Again: resubmitted})
+	// The submission is recorded before the sender can receive its ID.
+	c.env.Record.Submitted(audit.Hand{ID: id, Effect: e.name, Mark: e.mark, Grade: e.Grade,
+		Portfolio: e.Portfolio, Key: e.Key, Dest: e.Destination, Sender: sender, At: now, Until: now + remaining,
+		Intended: e.firstAt, Again: resubmitted})
 	c.mu.Lock()
 	c.pending[id] = e
 	c.mu.Unlock()
@@ -194,7 +204,8 @@
 	case status == 429 || status == 503:
 		c.resubmit(id, e, max(retryAfter, 20), "1")
 	case status == 0 && (!sent || w.Settings.Grades[e.Grade].Repeat != rules.AtMostOnce):
-		// Nobody may have it: but what must not run twice comes again only if no sender can have read it.
+		// The sender may not have received it. An at-most-once effect is submitted again only if no sender can have
+		// read it.
 		clientRetry := "again"
 		if !sent {
 			clientRetry = ""
@@ -206,7 +217,7 @@
 	c.mu.Unlock()
 }
 
-// again hands a dismissed effect in once more after a while, if its client wants it and there is time.
+// resubmit submits an effect once more after a delay, if its client chooses to and the client timeout allows it.
 func (c *Clients) resubmit(id string, e *effect, after rules.Millis, retry string) {
 	w := c.env.World
 	c.mu.Lock()
@@ -227,7 +238,7 @@
 	}()
 }
 
-// Ended takes the platform's word that a notice has ended.
+// Ended handles a final outcome that the platform received. A dismissed notice may be submitted again.
 func (c *Clients) Ended(e directory.End) {
 	c.mu.Lock()
 	submitted := c.pending[e.Message]
@@ -238,12 +249,14 @@
 	}
 }
 
+// hasIdle reports whether there is an idle connection.
 func (p *pool) hasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0
 }
 
+// take removes the most recently used connection and returns it, or nil. It closes those that have been idle for 1.5 s.
 func (p *pool) take() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,26 +271,30 @@
 	return nil
 }
 
+// put adds a connection that has become idle, and closes those that have been idle for longer than 1.5 s.
 func (p *pool) put(l *clientConn) {
 	l.lastUsed = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle = append(p.idle, l)
-	// Those at the front have stood idle for longest.
+	// The connections at the front have been idle for the longest time.
 	for len(p.idle) > 0 && time.Since(p.idle[0].lastUsed) > 1500*time.Millisecond {
 		p.idle[0].Close()
 		p.idle = p.idle[1:]
 	}
 }
 
-// ask hands in and hears the answer. sent is false if no byte can have reached the sender.
-func (c *Clients) exchange(sender int, e *effect, id string, remaining rules.Millis, retry string) (status int, retryAfter rules.Millis, sent bool) {
+// exchange sends one submission and returns the status of the response, 0 if there was none, and its Retry-After wait.
+// sent is false if no byte can have reached the sender.
+func (c *Clients) exchange(sender int, e *effect, id string, remaining rules.Millis, retry string) (status int,
+	retryAfter rules.Millis, sent bool) {
 	w := c.env.World
 	deadline := time.Now().Add(toDuration(w.Traffic.Patience))
 	var request bytes.Buffer
 	grade := w.Names.Grades[e.Grade]
-	fmt.Fprintf(&request, "POST /%s HTTP/1.1\r\nHost: sender\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n"+
-		"X-Consignee: dest=%d\r\nContent-Length: %d\r\n", grade, id, grade, int(remaining), e.Destination, e.Body)
+	fmt.Fprintf(&request, "POST /%s HTTP/1.1\r\nHost: sender\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
+		"Request-Timeout-Ms: %d\r\nX-Consignee: dest=%d\r\nContent-Length: %d\r\n", grade, id, grade, int(remaining),
+		e.Destination, e.Body)
 	if e.Portfolio < len(w.Names.Portfolios) {
 		fmt.Fprintf(&request, "Tenant: %s\r\n", w.Names.Portfolios[e.Portfolio])
 	}
@@ -317,8 +334,9 @@
 		defer fasthttp.ReleaseResponse(response)
 		if err := response.Read(current.reader); err != nil {
 			current.Close()
-			// A kept connection that the sender closed before it read the request: once more on a new one.
-			if !newConnection && (errors.Is(err, io.EOF) || errors.As(err, &fasthttp.ErrNothingRead{})) && time.Now().Before(deadline) {
+			// The sender closed a kept connection before it read the request: retry once on a new connection.
+			if !newConnection && (errors.Is(err, io.EOF) || errors.As(err, &fasthttp.ErrNothingRead{})) &&
+				time.Now().Before(deadline) {
 				continue
 			}
 			return 0, 0, true
@@ -337,7 +355,7 @@
 	}
 }
 
-// Quit ends the clients' idle connections.
+// Quit closes the clients' idle connections.
 func (c *Clients) Quit() {
 	for _, p := range c.pools {
 		p.mu.Lock()
@@ -349,7 +367,7 @@
 	}
 }
 
-// hostile plays bad clients while a fault lasts.
+// runHostileClients runs clients that send invalid requests or read no responses, for as long as a fault lasts.
 func (c *Clients) runHostileClients(fault scenario.Fault, random *rand.Rand) {
 	defer c.inFlight.Done()
 	if !c.env.waitUntil(fault.At) {
@@ -376,8 +394,9 @@
 	clients.Wait()
 }
 
-// bad makes what bad clients send; empty: they say nothing.
-var hostileRequests = []func(draw *rand.Rand) string{
+// hostileRequests generate what hostile clients send. The empty one stands for a client that connects and sends
+// nothing.
+var hostileRequests = []func(random *rand.Rand) string{
 	func(*rand.Rand) string { return "" },
 	func(*rand.Rand) string { return "\x16\x03\x01\x02\x00 hello\r\n\r\n" },
 	func(*rand.Rand) string {
@@ -395,7 +414,7 @@
 	},
 }
 
-// neverRead asks on and on and reads no answer.
+// sendWithoutReading sends requests until a time, for at most 2 s, and reads no response.
 func (c *Clients) sendWithoutReading(address string, until rules.Millis) {
 	conn, err := net.DialTimeout("tcp", address, 400*time.Millisecond)
 	if err != nil {
@@ -412,11 +431,12 @@
 	}
 }
 
-// offend sends what is bad and notes whether it got an error or a close within 3 s.
+// sendInvalid sends an invalid request and counts whether it got an error response or a close within 3 s and a margin
+// of 200 ms.
 func (c *Clients) sendInvalid(address, request string) {
 	conn, err := net.DialTimeout("tcp", address, 400*time.Millisecond)
 	if err != nil {
-		return // a sender that is away
+		return // the sender is down
 	}
 	defer conn.Close()
 	c.Bad.Add(1)
@@ -429,7 +449,8 @@
 		netErr, timedOut = err.(net.Error)
 		timedOut = timedOut && netErr.Timeout()
 	}
-	if timedOut || err == nil && !slices.Contains([]int{400, 404, 405, 408, 413, 431, 501, 503, 505}, response.StatusCode) {
+	if timedOut ||
+		err == nil && !slices.Contains([]int{400, 404, 405, 408, 413, 431, 501, 503, 505}, response.StatusCode) {
 		c.BadOpen.Add(1)
 	}
 }
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -19,7 +19,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Asked is a call that a receiver has read.
+// Asked is a call that a receiver has read, as passed to a test's script.
 type Asked struct {
 	ID, Mark, Receiver, Remote string
 	Path                       string
@@ -27,23 +27,23 @@
 	Gone                       <-chan struct{} // closed when the sender ends the connection
 }
 
-// Reply is what a script answers to a call.
+// Reply is the response to a call, as a test's script decides it.
 type Reply struct {
 	Status int
 	Fields []string // header lines
 	Body   string
-	Raw    string        // in place of all of these: these bytes
-	After  time.Duration // before the answer
-	Close  bool          // the connection ends behind it
-	Reset  bool          // it is reset, after Raw
-	Never  bool          // there is no answer
-	Ran    bool          // it took effect
+	Raw    string        // bytes to write in place of a response made of the fields above
+	After  time.Duration // delay before the response
+	Close  bool          // close the connection after the response
+	Reset  bool          // reset the connection, after writing Raw
+	Never  bool          // send no response
+	Ran    bool          // the call took effect
 }
 
-// Gateways is all destinations of a run.
+// Gateways serves all destinations of a run.
 type Gateways struct {
 	env *Stage
-	// Script answers calls in place of the scenario's shapes, for tests.
+	// Script, if set, decides the responses in place of the scenario's destinations. Tests use it.
 	Script func(*Asked) Reply
 
 	mu           sync.Mutex
@@ -51,14 +51,14 @@
 	receivers    map[string]*receiver
 }
 
-// dest is one destination.
+// destination is one destination with the number of its open connections.
 type destination struct {
-	*gateway.Site // under mu
+	*gateway.Site // guarded by mu
 	mu            sync.Mutex
-	open          int // connections
+	open          int // number of open connections
 }
 
-// receiver is one of its receivers.
+// receiver is one receiver of a destination, on its own address.
 type receiver struct {
 	id, address  string
 	gateways     *Gateways
@@ -66,13 +66,13 @@
 	mu           sync.Mutex
 	listener     *net.TCPListener
 	conns        map[net.Conn]bool
-	queueFillers []net.Conn // connections that keep others from coming up
-	paused       chan struct{}
-	resetsUntil  time.Time // what the kernel had let up while nobody accepted is reset
+	queueFillers []net.Conn    // connections that fill the kernel's accept queue
+	paused       chan struct{} // closed when a blocked receiver is unblocked; nil while it is not blocked
+	resetsUntil  time.Time     // until then, connections are reset: the kernel established them during a block
 	closed       bool
 }
 
-// NewGateways opens the receivers of a world.
+// NewGateways opens the receivers of a scenario instance.
 func NewGateways(env *Stage) (*Gateways, error) {
 	g := &Gateways{env: env, destinations: map[int]*destination{}, receivers: map[string]*receiver{}}
 	for _, d := range env.World.Destinations {
@@ -88,7 +88,7 @@
 	return g, nil
 }
 
-// watchOutages tells a destination when its outages begin and end.
+// watchOutages updates a destination whenever one of its outages begins or ends.
 func (g *Gateways) watchOutages(d *destination) {
 	for at := rules.Millis(0); ; {
 		next := d.NextOutage(at)
@@ -102,7 +102,7 @@
 	}
 }
 
-// Open begins a receiver of a destination under a new id.
+// Open opens a receiver of a destination under a new ID, on an unused address.
 func (g *Gateways) Open(id string, number int) error {
 	l, err := g.env.Listen()
 	if err != nil {
@@ -111,7 +111,7 @@
 	return g.open(id, number, l)
 }
 
-// OpenAt begins a receiver at an address.
+// OpenAt opens a receiver of a destination at a given address.
 func (g *Gateways) OpenAt(id string, number int, address string) error {
 	l, err := listenOn(address)
 	if err != nil {
@@ -120,9 +120,10 @@
 	return g.open(id, number, l)
 }
 
+// open starts a receiver on a listener.
 func (g *Gateways) open(id string, number int, l net.Listener) error {
-	r := &receiver{id: id, address: l.Addr().String(), gateways: g, destination: g.destinations[number], listener: l.(*net.TCPListener),
-		conns: map[net.Conn]bool{}}
+	r := &receiver{id: id, address: l.Addr().String(), gateways: g, destination: g.destinations[number],
+		listener: l.(*net.TCPListener), conns: map[net.Conn]bool{}}
 	g.mu.Lock()
 	g.receivers[id] = r
 	g.mu.Unlock()
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// Gone ends a receiver for good.
+// Gone removes a receiver and resets its connections.
 func (g *Gateways) Gone(id string) {
 	g.mu.Lock()
 	r := g.receivers[id]
@@ -143,24 +144,25 @@
 	}
 }
 
-// Block keeps new connections to a receiver from coming up until Unblock.
+// Block prevents new connections to a receiver from being established until Unblock is called.
 func (g *Gateways) Block(id string) error { return g.withReceiver(id, (*receiver).block) }
 
-// Unblock lets new connections to a receiver come up again.
+// Unblock lets new connections to a receiver be established again.
 func (g *Gateways) Unblock(id string) error { return g.withReceiver(id, (*receiver).unblock) }
 
+// withReceiver calls a function with the receiver of an ID.
 func (g *Gateways) withReceiver(id string, do func(*receiver)) error {
 	g.mu.Lock()
 	r := g.receivers[id]
 	g.mu.Unlock()
 	if r == nil {
-		return fmt.Errorf("no receiver %s", id)
+		return fmt.Errorf("receiver %q does not exist", id)
 	}
 	do(r)
 	return nil
 }
 
-// Address is where a receiver takes calls.
+// Address returns the address of a receiver, or "" if it does not exist.
 func (g *Gateways) Address(id string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -170,6 +172,7 @@
 	return ""
 }
 
+// close closes the receiver for good.
 func (r *receiver) close() {
 	r.mu.Lock()
 	r.closed = true
@@ -190,6 +193,7 @@
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -197,7 +201,7 @@
 	c.Close()
 }
 
-// listen opens the same address again.
+// listen listens on the receiver's address again. If that fails, it retries for 2 s.
 func (r *receiver) listen() {
 	for range 100 {
 		r.mu.Lock()
@@ -219,7 +223,7 @@
 	}
 }
 
-// block keeps new connections from coming up: nobody accepts, and the kernel's queue is full.
+// block prevents new connections from being established: it stops accepting and fills the kernel's accept queue.
 func (r *receiver) block() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,6 +240,7 @@
 	}
 }
 
+// unblock closes the connections that fill the accept queue, and accepts connections again.
 func (r *receiver) unblock() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -255,7 +260,7 @@
 	}
 }
 
-// followScript opens, closes and blocks the receiver as the faults say.
+// followFaults opens, closes, blocks and unblocks the receiver at the times of its destination's faults.
 func (r *receiver) followFaults() {
 	faults := r.destination.Faults
 	for at := rules.Millis(0); ; {
@@ -293,6 +298,8 @@
 	}
 }
 
+// accept accepts connections until the listener is replaced or closed. It resets those over the destination's limit and
+// those that arrived while the receiver was closed or blocked.
 func (r *receiver) accept(l *net.TCPListener) {
 	for {
 		c, err := l.Accept()
@@ -323,12 +330,12 @@
 		}
 		d.mu.Unlock()
 		r.mu.Lock()
-		late := r.closed || r.listener != l || time.Now().Before(r.resetsUntil)
-		if !late {
+		stale := r.closed || r.listener != l || time.Now().Before(r.resetsUntil)
+		if !stale {
 			r.conns[c] = true
 		}
 		r.mu.Unlock()
-		if full || late {
+		if full || stale {
 			reset(c)
 			if !full {
 				d.mu.Lock()
@@ -341,36 +348,38 @@
 	}
 }
 
-// read is a request as it came.
+// receivedRequest is a request with the times of its first and last byte.
 type receivedRequest struct {
 	first, last    rules.Millis
 	id, mark, path string
 	body           []byte
 }
 
-// line is a connection from a sender, which one goroutine serves.
+// connection is a connection from a sender, served by one goroutine.
 type connection struct {
 	net.Conn
 	reader        *bufio.Reader
-	peerClosed    chan struct{} // closed when the sender has ended it; nil while nobody looks
-	readable      chan struct{} // closed when there is something to read, or the end
-	closedLocally atomic.Bool   // it ended from the gateway's side
+	peerClosed    chan struct{} // closed when the sender has ended the connection; nil while nothing watches for it
+	readable      chan struct{} // closed when a byte can be read or the connection has ended
+	closedLocally atomic.Bool   // the gateway closed it
 
-	callCount   int            // calls
-	retractable []answeredCall // that a sender may have taken for other calls' answers if the connection ends now
+	callCount int // calls received so far
+	// retractable holds the calls whose responses the sender may retract if the connection ends now.
+	retractable []answeredCall
 }
 
-// answered is a call with the status of its answer.
+// answeredCall is a call with the status of its response.
 type answeredCall struct {
 	call   *audit.Call
 	status int
 }
 
-// doubtfulKept is how many calls of a connection are told when it ends.
+// maxRetractable limits for how many calls of a connection its end is recorded.
 const maxRetractable = 64
 
-// noteAnswered keeps a call that was answered. Of the calls before it goes which a like answer has followed that the sender must have heard,
-// which it need not have heard of the last one.
+// recordResponse adds a call with its response to the retractable ones. Of the earlier calls, it drops one whose
+// response was followed by another with the same status, if the sender must have received that one. It need not have
+// received the response to the newest call.
 func (l *connection) recordResponse(call *audit.Call, status int) {
 	last := len(l.retractable) - 1
 	switch {
@@ -382,14 +391,14 @@
 	l.retractable = append(l.retractable, answeredCall{call, status})
 }
 
-// noteEnd notes the end of a connection with the calls that were answered on it.
+// recordEnd records the end of the connection for the retractable calls.
 func (l *connection) recordEnd(env *Stage) {
 	at := env.Clock.Now()
 	for i, a := range l.retractable {
 		last := i == len(l.retractable)-1
 		env.Record.Update(a.call, func(c *audit.Call) {
 			c.Ended = at
-			// An answer that a reset follows may never have been read.
+			// The sender may never have read a response that was followed by a reset.
 			if last && l.closedLocally.Load() && c.Closed == 0 {
 				c.Closed = at
 			}
@@ -397,21 +406,22 @@
 	}
 }
 
-// watch looks, beside whoever serves the connection, whether the sender ends it.
+// watchPeer starts a goroutine, if none is running, that waits for the next byte while the connection is served. The
+// channel that it returns is closed when the sender ends the connection.
 func (l *connection) watchPeer() <-chan struct{} {
 	if l.peerClosed == nil {
 		l.peerClosed, l.readable = make(chan struct{}), make(chan struct{})
-		go func(gone, next chan struct{}) {
-			defer close(next)
+		go func(peerClosed, readable chan struct{}) {
+			defer close(readable)
 			if !l.peekByte() {
-				close(gone)
+				close(peerClosed)
 			}
 		}(l.peerClosed, l.readable)
 	}
 	return l.peerClosed
 }
 
-// ended tells whether the sender has ended the connection, or its sending side.
+// peerEnded reports whether the sender has closed the connection or its sending side.
 func (l *connection) peerEnded() bool {
 	select {
 	case <-l.watchPeer():
@@ -421,7 +431,7 @@
 	}
 }
 
-// await waits until there is something to read.
+// awaitReadable waits for the next byte and reports whether there is one.
 func (l *connection) awaitReadable(done <-chan struct{}) bool {
 	if l.readable != nil {
 		select {
@@ -434,7 +444,8 @@
 	return l.peekByte()
 }
 
-// peek waits for the next byte, and notes whose end it was if none comes.
+// peekByte waits for the next byte and reports whether there is one. If the gateway closed the connection, it records
+// that.
 func (l *connection) peekByte() bool {
 	_, err := l.reader.Peek(1)
 	if errors.Is(err, net.ErrClosed) {
@@ -443,7 +454,7 @@
 	return err == nil
 }
 
-// serve answers the calls of one connection.
+// serve responds to the calls of one connection.
 func (r *receiver) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -466,7 +477,7 @@
 	}
 }
 
-// receive reads a request.
+// receive reads a request. It returns false if the connection is of no further use.
 func (r *receiver) receive(l *connection, request *fasthttp.Request) (receivedRequest, bool) {
 	env := r.gateways.env
 	received := receivedRequest{first: env.Clock.Now()}
@@ -475,20 +486,21 @@
 		return received, false
 	}
 	if _, drawn := r.drawFault(scenario.ResetBefore, -1); drawn {
-		env.Record.Call(audit.Call{Receiver: r.id, Dest: r.destination.Number, First: received.first, Last: received.first, Unread: true,
-			Fault: scenario.ResetBefore})
+		env.Record.Call(audit.Call{Receiver: r.id, Dest: r.destination.Number, First: received.first,
+			Last: received.first, Unread: true, Fault: scenario.ResetBefore})
 		reset(l.Conn)
 		return received, false
 	}
 	if request.ReadLimitBody(l.reader, 1<<20) != nil {
 		return received, false
 	}
-	received.id, received.mark = string(request.Header.Peek("Request-Id")), string(request.Header.Peek("Idempotency-Key"))
+	received.id, received.mark = string(request.Header.Peek("Request-Id")),
+		string(request.Header.Peek("Idempotency-Key"))
 	received.path, received.body, received.last = string(request.URI().Path()), request.Body(), env.Clock.Now()
 	return received, true
 }
 
-// hold waits while a fault acts, and tells whether it did.
+// waitOutFault waits until no fault of a kind is active, and reports whether one was.
 func (r *receiver) waitOutFault(kind string) bool {
 	waited := false
 	for {
@@ -503,29 +515,30 @@
 	}
 }
 
+// activeFault returns the fault of a kind that is active now, if there is one.
 func (r *receiver) activeFault(kind string) (scenario.Fault, bool) {
 	return r.destination.Active(kind, r.gateways.env.Clock.Now())
 }
 
-// strike draws whether a fault strikes a call of a grade, -1 for any.
+// drawFault decides at random whether a fault of a kind affects a call of a grade, where -1 stands for any grade.
 func (r *receiver) drawFault(kind string, grade int) (scenario.Fault, bool) {
 	r.destination.mu.Lock()
 	defer r.destination.mu.Unlock()
 	return r.destination.Strike(kind, grade, r.gateways.env.Clock.Now())
 }
 
-// fate is what happens to a call: what the destination decides, or a test's script.
+// plannedResponse is what happens to a call, as decided by the destination or by a test's script.
 type plannedResponse struct {
 	Reply
-	due           rules.Millis // when the answer is due
-	requestedWait rules.Millis
-	slow          bool // a byte a second
-	malformed     bool
-	fault         string
-	lostUnseen    bool // lost before it was looked at
+	due           rules.Millis // when to write the response
+	requestedWait rules.Millis // the wait that the response asks for
+	slow          bool         // write one byte a second
+	malformed     bool         // the response cannot be read to its end
+	fault         string       // kind of the injected fault that causes it; empty: none
+	lostUnseen    bool         // the call is lost before the destination looks at it
 }
 
-// decide says what happens to a call.
+// decide asks the destination what happens to a call, and records an overload that the call causes.
 func (r *receiver) decide(now rules.Millis, sender, grade int) plannedResponse {
 	d := r.destination
 	d.mu.Lock()
@@ -534,22 +547,25 @@
 	if verdict.Fell {
 		r.gateways.env.Record.Overloaded(audit.Fall{Dest: d.Number, At: now, By: d.Core.Pushed(), Seen: d.SeenBy()})
 	}
-	return plannedResponse{Reply: Reply{Status: verdict.Status, Fields: verdict.Fields, Raw: verdict.Raw, Reset: verdict.Reset, Never: verdict.Never, Ran: verdict.Ran},
-		due: verdict.At, requestedWait: verdict.Wait, slow: verdict.Slow, malformed: verdict.Spoilt, fault: verdict.Fault, lostUnseen: verdict.Unseen}
+	return plannedResponse{
+		Reply: Reply{Status: verdict.Status, Fields: verdict.Fields, Raw: verdict.Raw, Reset: verdict.Reset,
+			Never: verdict.Never, Ran: verdict.Ran},
+		due: verdict.At, requestedWait: verdict.Wait, slow: verdict.Slow, malformed: verdict.Spoilt,
+		fault: verdict.Fault, lostUnseen: verdict.Unseen}
 }
 
-// answer answers one call, and tells whether the connection goes on.
+// respond handles one call and reports whether the connection stays in use.
 func (r *receiver) respond(c *connection, received receivedRequest) bool {
 	env, id, mark := r.gateways.env, received.id, received.mark
 	submission, known := env.Record.SubmissionOf(id)
-	observed := audit.Call{ID: id, Receiver: r.id, Mark: mark, Dest: r.destination.Number, Apart: r.hasSeparateRoutes(), First: received.first, Last: received.last,
-		Before: c.callCount}
+	observed := audit.Call{ID: id, Receiver: r.id, Mark: mark, Dest: r.destination.Number,
+		Apart: r.hasSeparateRoutes(), First: received.first, Last: received.last, Before: c.callCount}
 	c.callCount++
 	var planned plannedResponse
 	switch {
 	case r.gateways.Script != nil:
-		planned.Reply = r.gateways.Script(&Asked{ID: id, Mark: mark, Receiver: r.id, Remote: c.RemoteAddr().String(), Path: received.path,
-			Body: received.body, Gone: c.watchPeer()})
+		planned.Reply = r.gateways.Script(&Asked{ID: id, Mark: mark, Receiver: r.id, Remote: c.RemoteAddr().String(),
+			Path: received.path, Body: received.body, Gone: c.watchPeer()})
 		planned.due = env.Clock.Now() + rules.Millis(planned.After)/1e6
 	case !known && !env.Strangers:
 		planned = plannedResponse{Reply: Reply{Status: 400}, due: received.last}
@@ -587,7 +603,7 @@
 	}
 	r.waitOutPause()
 	if r.gateways.Script == nil && c.peerEnded() {
-		recordClosed() // the sender has given the call up meanwhile: nothing is answered to it any more
+		recordClosed() // the sender has abandoned the call in the meantime, so there is no response
 		return false
 	}
 	if planned.Raw == "" && !planned.Reset {
@@ -605,7 +621,7 @@
 		reset(c.Conn)
 		return false
 	case planned.malformed:
-		// The connection stays open and is of no further use.
+		// After a malformed response the connection stays open but is of no further use.
 		select {
 		case <-c.watchPeer():
 		case <-env.done:
@@ -615,9 +631,10 @@
 	return !planned.Close
 }
 
-// holdPause waits while nothing moves.
+// waitOutPause waits until no pause fault is active.
 func (r *receiver) waitOutPause() { r.waitOutFault(scenario.Pauses) }
 
+// hasSeparateRoutes reports whether senders treat the destination's receivers as separate routes.
 func (r *receiver) hasSeparateRoutes() bool {
 	for i, name := range r.gateways.env.World.Names.Kinds {
 		if name == r.destination.Group.Kind {
@@ -627,6 +644,7 @@
 	return false
 }
 
+// formatResponse returns the bytes of a response.
 func formatResponse(reply Reply) string {
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n", reply.Status, http.StatusText(reply.Status))
 	for _, field := range reply.Fields {
@@ -638,7 +656,8 @@
 	return text + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(reply.Body), reply.Body)
 }
 
-// write writes an answer and notes when its first line was out.
+// writeResponse writes a response and records when its status line was written. It returns false if writing failed or
+// the run ended.
 func (r *receiver) writeResponse(c *connection, call *audit.Call, planned plannedResponse) bool {
 	env := r.gateways.env
 	recordWritten := func() {
--- a/internal/standin/kernel_linux.go
+++ b/internal/standin/kernel_linux.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// exactly sleeps in the kernel.
+// sleepExactly sleeps in the kernel, which is more exact than a Go timer.
 func sleepExactly(d time.Duration) {
 	wait := syscall.NsecToTimespec(int64(d))
 	syscall.Nanosleep(&wait, nil)
 }
 
-// backlog changes how many connections the kernel brings up that nobody has accepted.
+// setBacklog sets how many established connections the kernel queues until they are accepted.
 func setBacklog(l *net.TCPListener, n int) {
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -17,7 +17,7 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Platform tells the list of receivers and takes the notices of ends. It has an address for each sender.
+// Platform serves the receiver list and accepts reports of final outcomes. It has an address for each sender.
 type Platform struct {
 	env      *Stage
 	gateways *Gateways
@@ -25,19 +25,20 @@
 	mu        sync.Mutex
 	revision  int64
 	members   map[string]directory.Member
-	changed   map[string]int64 // the revision of each member's last change, of those gone too
-	wake      chan struct{}
-	addresses []string
+	changed   map[string]int64 // revision of each member's last change, including removed members
+	wake      chan struct{}    // closed at the next change of the list
+	addresses []string         // last address of each sender
 	servers   []*http.Server
-	// Ended is told of each end that a sender told; it must not wait.
+	// Ended is called with each final outcome that a sender reported. It must not block.
 	Ended func(sender int, e directory.End)
-	// Answer may answer a request in place of the platform, for tests; it returns whether it did.
+	// Answer may respond to a request in place of the platform, and returns whether it did. Tests use it.
 	Answer func(sender int, w http.ResponseWriter, r *http.Request, body []byte) bool
 }
 
-// NewPlatform opens a platform for a number of senders and lists the gateways' receivers.
+// NewPlatform opens a platform for a number of senders, with the gateways' receivers in its list.
 func NewPlatform(env *Stage, g *Gateways, senders int) (*Platform, error) {
-	p := &Platform{env: env, gateways: g, members: map[string]directory.Member{}, changed: map[string]int64{}, wake: make(chan struct{})}
+	p := &Platform{env: env, gateways: g, members: map[string]directory.Member{}, changed: map[string]int64{},
+		wake: make(chan struct{})}
 	for _, d := range env.World.Destinations {
 		for _, id := range d.Receivers {
 			p.members[id] = p.newMember(d, id, "ready")
@@ -54,7 +55,7 @@
 	return p, nil
 }
 
-// Listen gives a sender one more address; Address tells the last one.
+// Listen opens one more address for a sender, an unused one if address is empty. Address returns the last one.
 func (p *Platform) Listen(sender int, address string) error {
 	l, err := p.env.Listen()
 	if address != "" && err == nil {
@@ -64,7 +65,9 @@
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { p.serve(sender, w, r) })}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		p.serve(sender, w, r)
+	})}
 	p.mu.Lock()
 	for len(p.addresses) <= sender {
 		p.addresses = append(p.addresses, "")
@@ -77,30 +80,31 @@
 	return nil
 }
 
-// Address is where a sender finds the platform.
+// Address returns the address of the platform for a sender.
 func (p *Platform) Address(sender int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addresses[sender]
 }
 
+// newMember returns the list entry of a receiver in a phase.
 func (p *Platform) newMember(d *scenario.Destination, id, phase string) directory.Member {
-	m := directory.Member{ID: id, HostPort: p.gateways.Address(id), Flavor: d.Group.Kind, Cell: int64(d.Number), Phase: phase,
-		Size: d.Group.Shape.Limit}
+	m := directory.Member{ID: id, HostPort: p.gateways.Address(id), Flavor: d.Group.Kind, Cell: int64(d.Number),
+		Phase: phase, Size: d.Group.Shape.Limit}
 	if zones := p.env.World.Names.Zones; len(zones) > 0 {
 		m.Locality = zones[0]
 	}
 	return m
 }
 
-// List is the whole list.
+// List returns the whole receiver list.
 func (p *Platform) List() directory.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changesSince(0)
 }
 
-// since is what changed after a revision, or with 0 the whole list.
+// changesSince returns the members that changed after a revision, or the whole list for revision 0.
 func (p *Platform) changesSince(revision int64) directory.List {
 	list := directory.List{Revision: p.revision, Complete: revision == 0, Members: []directory.Member{}}
 	for id, m := range p.members {
@@ -117,7 +121,7 @@
 	return list
 }
 
-// Change puts members into the list and wakes those that watch it.
+// Change adds or replaces members of the list and wakes the requests that wait for a change.
 func (p *Platform) Change(members ...directory.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,6 +133,7 @@
 	p.wake = make(chan struct{})
 }
 
+// activeFault returns the fault of a kind that is active now, if there is one.
 func (p *Platform) activeFault(kind string) (scenario.Fault, bool) {
 	now := p.env.Clock.Now()
 	for _, f := range p.env.World.Faults {
@@ -139,6 +144,7 @@
 	return scenario.Fault{}, false
 }
 
+// serve handles a request from a sender.
 func (p *Platform) serve(sender int, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -164,6 +170,7 @@
 	}
 }
 
+// acceptOutcomes handles a report of final outcomes, one JSON object a line. It accepts all of them or none.
 func (p *Platform) acceptOutcomes(sender int, w http.ResponseWriter, body []byte) {
 	if _, on := p.activeFault(scenario.EndsRefused); on {
 		p.env.Record.ReportRefused(audit.Shut{Sender: sender, At: p.env.Clock.Now()})
@@ -191,6 +198,8 @@
 	}
 }
 
+// sendList responds with the changes of the receiver list since the revision that the sender names, or with the whole
+// list. If there is no change yet, it waits for one as long as the sender asks.
 func (p *Platform) sendList(sender int, w http.ResponseWriter, r *http.Request) {
 	if _, on := p.activeFault(scenario.ListGarbage); on {
 		p.env.sleep(50 * time.Millisecond)
@@ -198,15 +207,15 @@
 		return
 	}
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	holdMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	p.mu.Lock()
 	wake, known := p.wake, from > 0 && from <= p.revision
-	wait := known && from == p.revision && hold > 0
+	wait := known && from == p.revision && holdMS > 0
 	p.mu.Unlock()
 	if wait {
 		select {
 		case <-wake:
-		case <-time.After(time.Duration(hold) * time.Millisecond):
+		case <-time.After(time.Duration(holdMS) * time.Millisecond):
 		case <-r.Context().Done():
 			return
 		case <-p.env.done:
@@ -221,7 +230,7 @@
 	p.mu.Unlock()
 	text, _ := json.Marshal(list)
 	w.Header().Set("Content-Length", fmt.Sprint(len(text)))
-	// What is told counts as told once it is written.
+	// The list is recorded as received once it is written.
 	if _, err := w.Write(text); err != nil {
 		return
 	}
@@ -232,13 +241,13 @@
 	}
 }
 
-// step is a change of receivers at a time of the script.
+// step is a change of receivers at a time in the scenario.
 type step struct {
 	at  rules.Millis
 	run func()
 }
 
-// followScript drains, replaces and removes receivers.
+// followFaults drains, removes and replaces receivers at the times of the scenario's faults.
 func (p *Platform) followFaults() {
 	var steps []step
 	delay := p.env.World.ListDelay
@@ -261,17 +270,18 @@
 					p.gateways.Open(id, d.Number)
 				}
 			}
-			gone := func() {
+			remove := func() {
 				for _, id := range old {
 					p.gateways.Gone(id)
 				}
 			}
 			switch f.Kind {
 			case scenario.Drain:
-				steps = append(steps, step{f.At, open}, step{f.At + delay, func() { announce(old, "draining"); announce(replacements, "ready") }},
-					step{f.Until(), func() { announce(old, "gone") }}, step{f.Until() + delay + 1500, gone})
+				steps = append(steps, step{f.At, open},
+					step{f.At + delay, func() { announce(old, "draining"); announce(replacements, "ready") }},
+					step{f.Until(), func() { announce(old, "gone") }}, step{f.Until() + delay + 1500, remove})
 			case scenario.Vanish:
-				steps = append(steps, step{f.At, gone}, step{f.At + delay, func() { announce(old, "gone") }},
+				steps = append(steps, step{f.At, remove}, step{f.At + delay, func() { announce(old, "gone") }},
 					step{f.Until(), open}, step{f.Until() + delay, func() { announce(replacements, "ready") }})
 			}
 		}
--- a/internal/standin/stage.go
+++ b/internal/standin/stage.go
@@ -1,6 +1,6 @@
-// Package standin holds stand-ins for all that a sender speaks with: gateways with their receivers, the platform and
-// clients, on loopback sockets and by the protocol as docs/sender.md states it. They play a scenario and note what
-// they see in an audit.Record.
+// Package standin simulates everything that a sender communicates with: gateways with their receivers, the platform
+// and clients. They use loopback sockets and the protocol in docs/sender.md, run a scenario and record what they
+// observe in an audit.Record.
 package standin
 
 import (
@@ -18,13 +18,13 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Clock tells the scenario's time, which begins with the first notice.
+// Clock measures the scenario's time, which starts at the first notice.
 type Clock struct{ startedAt atomic.Int64 }
 
 // Begin starts the scenario's time now.
 func (c *Clock) Begin() { c.startedAt.Store(time.Now().UnixNano()) }
 
-// Now is the time in the scenario; below 0 before it begins.
+// Now returns the time in the scenario, -1 before it has begun.
 func (c *Clock) Now() rules.Millis {
 	startedAt := c.startedAt.Load()
 	if startedAt == 0 {
@@ -33,39 +33,40 @@
 	return rules.Millis(time.Now().UnixNano()-startedAt) / 1e6
 }
 
-// Until is how long it takes from now on to a time in the scenario.
+// Until returns the duration from now to a time in the scenario.
 func (c *Clock) Until(at rules.Millis) time.Duration {
 	return time.Duration((at - c.Now()) * rules.Millis(time.Millisecond))
 }
 
+// toDuration converts milliseconds to a duration.
 func toDuration(m rules.Millis) time.Duration {
 	return time.Duration(m * rules.Millis(time.Millisecond))
 }
 
-// Stage is what all stand-ins of one run share.
+// Stage is the test environment of one run, which all stand-ins share.
 type Stage struct {
 	World  *scenario.World
 	Clock  *Clock
 	Record *audit.Record
-	// Strangers lets gateways serve calls for notices that no client of the stage handed in.
+	// Strangers lets gateways serve calls for notices that no client of this environment submitted.
 	Strangers     bool
 	done          chan struct{}
 	once          sync.Once
-	netByte       byte // the run's own loopback addresses: 127.net.sub.host
+	netByte       byte // the run's own loopback addresses are 127.netByte.subnetByte.host
 	subnetByte    byte
 	addressesUsed atomic.Int64
 }
 
-// NewStage prepares a run of a world.
+// NewStage returns the test environment for a run of a scenario instance.
 func NewStage(w *scenario.World) *Stage {
 	return &Stage{World: w, Clock: &Clock{}, Record: audit.NewRecord(), done: make(chan struct{}),
 		netByte: byte(20 + rand.IntN(200)), subnetByte: byte(1 + rand.IntN(250))}
 }
 
-// Close ends all stand-ins.
+// Close stops all stand-ins.
 func (s *Stage) Close() { s.once.Do(func() { close(s.done) }) }
 
-// sleep waits, and tells whether the run goes on.
+// sleep waits for a duration and reports whether the run goes on.
 func (s *Stage) sleep(d time.Duration) bool {
 	if d <= 0 {
 		select {
@@ -85,7 +86,8 @@
 	}
 }
 
-// at waits for a time in the scenario.
+// waitUntil waits for a time in the scenario and reports whether the run goes on. It sleeps for at
+// most 20 ms at a time.
 func (s *Stage) waitUntil(when rules.Millis) bool {
 	for s.Clock.Now() < when {
 		wait := s.Clock.Until(when)
@@ -99,8 +101,8 @@
 	return s.sleep(0)
 }
 
-// Listen listens on a fresh loopback address of the run's own. Its port is below those that the kernel hands to outgoing
-// connections, so that it can be closed and opened again.
+// Listen listens on an unused loopback address of this run. Its port is below the range that the kernel assigns to
+// outgoing connections, so the same address can be closed and opened again.
 func (s *Stage) Listen() (net.Listener, error) {
 	var lastErr error
 	for range 200 {
@@ -115,13 +117,13 @@
 	return nil, fmt.Errorf("listening on loopback: %w", lastErr)
 }
 
-// Free is an address that this run has not used yet.
+// Free returns an address that this run has not used yet.
 func (s *Stage) Free() string {
 	n := s.addressesUsed.Add(1) - 1
 	return fmt.Sprintf("127.%d.%d.%d:%d", s.netByte, s.subnetByte, 1+n%250, 7000+n/250)
 }
 
-// Ended tells whether the run is over.
+// Ended reports whether the run is over.
 func (s *Stage) Ended() bool {
 	select {
 	case <-s.done:
@@ -131,5 +133,5 @@
 	}
 }
 
-// At waits for a time in the scenario and tells whether the run goes on.
+// At waits for a time in the scenario and reports whether the run goes on.
 func (s *Stage) At(when rules.Millis) bool { return s.waitUntil(when) }
