--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -37,7 +37,7 @@
 	Lost                // each accepted notice has exactly one final answer, in time
 	Twice               // no notice takes effect twice unless its grade allows it
 	Drains              // draining and removed receivers are no longer called
-	Returns             // a destination that returns from an outage is not overloaded
+	Returns             // senders that knew of an outage do not overload the destination when it returns
 	Order               // ordered notices of one key are sent one at a time, in the order in which they were accepted
 	Waits               // no call is sent during a requested wait
 )
@@ -52,8 +52,8 @@
 type Breach struct {
 	Rule  Rule
 	ID    string   // of the notice concerned; empty if the breach is not about a single notice
-	What  string   // what happened, as a predicate of which the notice is the subject
-	Story []string // every recorded event of the notice in the order of time, one line each
+	What  string   // what happened; if the breach is about a notice, the notice is the subject
+	Story []string // recorded events of the notice and of other submissions of its effect, in order of time
 }
 
 // String returns the breach with its story on indented lines.
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -33,7 +33,7 @@
 	Dest               int
 	Apart              bool         // the destination's receivers are separate routes
 	First, Last        rules.Millis // times of its first and last byte
-	Unread             bool         // the gateway reset the connection before reading it completely, or lost the call unseen
+	Unread             bool         // the gateway did not read it completely, or lost it unseen
 	Ran                bool         // it took effect
 	Status             int          // of the response; 0: none
 	Spoilt             bool         // the response is malformed and cannot be read to its end
