--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -24,57 +24,62 @@
 	"github.com/valyala/fasthttp"
 )
 
+// newReader returns a reader of bytes.
 func newReader(b []byte) io.Reader { return bytes.NewReader(b) }
 
+// listenOn listens for TCP connections on an address.
 func listenOn(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// Clients hand in a world's notices at their times, whatever the senders answer.
+// Clients submits the notices of a scenario instance at their times, independently of how fast the senders respond.
 type Clients struct {
-	stage   *Stage
-	names   []string // senders' addresses
-	alive   []atomic.Int64
-	leaving []atomic.Bool
-	next    atomic.Int64
-	numbers atomic.Int64
-	pools   []*pool
-	handing sync.WaitGroup
+	env        *Stage
+	addresses  []string       // senders' addresses
+	usableFrom []atomic.Int64 // by sender: 0 if it is up, -1 once it is down, 1<<62 once that is detected
+	leaving    []atomic.Bool  // by sender: it was told to shut down
+	next       atomic.Int64   // sender to choose next, modulo their number
+	lastNumber atomic.Int64   // last number used in a name or an ID
+	pools      []*pool
+	inFlight   sync.WaitGroup // submissions and hostile clients that are running
 
 	mu      sync.Mutex
-	draw    *rand.Rand
-	pending map[string]*effect // by the id of its last hand-in, those that may come again
+	random  *rand.Rand
+	pending map[string]*effect // by the ID of the last submission: effects that may be submitted again
 
-	// Answer is told how long each answer took from the intended time on, and its status; 0: none.
+	// Answer is called with the status of each response, 0 if there was none, and the time since the intended
+	// submission.
 	Answer func(status int, took rules.Millis)
-	// Offered and Late count the notices handed in for the first time, and those more than 10 ms after their time.
+	// Offered counts first submissions, and Late those of them that were more than 10 ms after their intended time.
 	Offered, Late atomic.Int64
-	// Bad counts the bad clients' connections, and those of them that got neither an error nor a close in time.
+	// Bad counts the connections of hostile clients, and BadOpen those that got neither an error response nor a close
+	// in time.
 	Bad, BadOpen atomic.Int64
 }
 
-// effect is what a client wants done, however often it hands it in.
+// effect is a piece of work that a client wants done once, however often it submits it.
 type effect struct {
 	scenario.Arrival
-	name string
-	mark string
-	from rules.Millis // when it was handed in first
+	name    string
+	mark    string       // idempotency key; empty: none
+	firstAt rules.Millis // intended time of the first submission
 }
 
-// pool is idle connections to one sender.
+// pool holds the idle connections to one sender.
 type pool struct {
 	mu   sync.Mutex
-	idle []*link
+	idle []*clientConn
 }
 
-type link struct {
+// clientConn is a client's connection to a sender.
+type clientConn struct {
 	net.Conn
-	in   *bufio.Reader
-	used time.Time
+	reader   *bufio.Reader
+	lastUsed time.Time
 }
 
-// NewClients makes clients of senders at addresses.
-func NewClients(s *Stage, addresses []string) *Clients {
-	c := &Clients{stage: s, names: addresses, alive: make([]atomic.Int64, len(addresses)),
-		leaving: make([]atomic.Bool, len(addresses)), draw: scenario.Chance(s.World.Seed, 1<<40),
+// NewClients returns clients that submit to the senders at some addresses.
+func NewClients(env *Stage, addresses []string) *Clients {
+	c := &Clients{env: env, addresses: addresses, usableFrom: make([]atomic.Int64, len(addresses)),
+		leaving: make([]atomic.Bool, len(addresses)), random: scenario.Chance(env.World.Seed, 1<<40),
 		pending: map[string]*effect{}}
 	for range addresses {
 		c.pools = append(c.pools, &pool{})
@@ -82,175 +87,183 @@
 	return c
 }
 
-// Run hands in all notices and returns when the last has its answer. What is dismissed later still comes again.
+// Run submits all notices and returns when the last one has its response. Notices that a sender dismisses later are
+// still submitted again.
 func (c *Clients) Run() {
-	for i, f := range c.stage.World.Faults {
-		if f.Kind == scenario.Hostile {
-			c.handing.Add(1)
-			go c.hostile(f, scenario.Chance(c.stage.World.Seed, 1<<41+uint64(i)))
+	for i, fault := range c.env.World.Faults {
+		if fault.Kind == scenario.Hostile {
+			c.inFlight.Add(1)
+			go c.runHostileClients(fault, scenario.Chance(c.env.World.Seed, 1<<41+uint64(i)))
 		}
 	}
-	arrivals := c.stage.World.Arrivals()
+	arrivals := c.env.World.Arrivals()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
-		a, ok := arrivals.Next()
-		if !ok || !c.waitFor(a.At) {
+		arrival, ok := arrivals.Next()
+		if !ok || !c.waitForArrival(arrival.At) {
 			break
 		}
-		e := &effect{Arrival: a, name: fmt.Sprintf("e%d", c.numbers.Add(1)), from: a.At}
-		if c.stage.World.Settings.Grades[a.Grade].Repeat == rules.Numbered {
-			e.mark = "m" + e.name[1:]
+		submitted := &effect{Arrival: arrival, name: fmt.Sprintf("e%d", c.lastNumber.Add(1)), firstAt: arrival.At}
+		if c.env.World.Settings.Grades[arrival.Grade].Repeat == rules.Numbered {
+			submitted.mark = "m" + submitted.name[1:]
 		}
 		c.Offered.Add(1)
-		if c.stage.Clock.Now() > a.At+10 {
+		if c.env.Clock.Now() > arrival.At+10 {
 			c.Late.Add(1)
 		}
-		c.handing.Add(1)
-		go c.hand(e, a.At, false, "")
+		c.inFlight.Add(1)
+		go c.submit(submitted, arrival.At, false, "")
 	}
-	c.handing.Wait()
+	c.inFlight.Wait()
 }
 
-// waitFor waits for an arrival's time. Go's timers are up to a millisecond late where a process is idle, which would be
-// measured as the sender's: the last part is waited for in the kernel.
-func (c *Clients) waitFor(at rules.Millis) bool {
-	wait := c.stage.Clock.Until(at)
-	if wait > 5*time.Millisecond && !c.stage.sleep(wait-3*time.Millisecond) {
+// waitForArrival waits for the time of an arrival and reports whether the run goes on. Go's timers are up to a
+// millisecond late in an idle process, and the measurements would count that as latency of the sender, so the last
+// part of the wait is a sleep in the kernel.
+func (c *Clients) waitForArrival(at rules.Millis) bool {
+	wait := c.env.Clock.Until(at)
+	if wait > 5*time.Millisecond && !c.env.sleep(wait-3*time.Millisecond) {
 		return false
 	}
-	if wait = c.stage.Clock.Until(at); wait > 20*time.Microsecond {
-		exactly(wait)
+	if wait = c.env.Clock.Until(at); wait > 20*time.Microsecond {
+		sleepExactly(wait)
 	}
-	return !c.stage.Ended()
+	return !c.env.Ended()
 }
 
-// choose deals notices out over the senders, but for those known to be dead. One that leaves is used as long as a connection
-// to it is open.
-func (c *Clients) choose() int {
-	n := len(c.names)
+// chooseSender picks senders in turn, except those known to be down. A sender that is leaving is used as long as there
+// is an idle connection to it.
+func (c *Clients) chooseSender() int {
+	n := len(c.addresses)
 	first := int(c.next.Add(1))
-	now := int64(c.stage.Clock.Now())
+	now := int64(c.env.Clock.Now())
 	for i := range n {
-		s := (first + i) % n
-		if now >= c.alive[s].Load() || c.leaving[s].Load() && c.pools[s].has() {
-			return s
+		sender := (first + i) % n
+		if now >= c.usableFrom[sender].Load() || c.leaving[sender].Load() && c.pools[sender].hasIdle() {
+			return sender
 		}
 	}
 	return first % n
 }
 
-// Leaving says that a sender was told to leave: the front notices as it does a dead one, and connections that are open
-// are used on.
+// Leaving marks a sender that was told to shut down. The load balancer detects it like one that is down, and open
+// connections to it stay in use.
 func (c *Clients) Leaving(sender int) {
 	c.leaving[sender].Store(true)
 	c.Dead(sender)
 }
 
-// Dead says that a sender is dead from now on, which clients notice after a while; Back that it serves again.
+// Dead marks a sender as down from now on. Clients stop choosing it only after the time in which a load balancer would
+// detect that, unless Back is called before.
 func (c *Clients) Dead(sender int) {
-	notice := c.stage.World.FrontNotice
+	detectionTime := c.env.World.FrontNotice
 	go func() {
-		if c.stage.sleep(span(notice)) && c.alive[sender].Load() == -1 {
-			c.alive[sender].Store(1 << 62)
+		if c.env.sleep(toDuration(detectionTime)) && c.usableFrom[sender].Load() == -1 {
+			c.usableFrom[sender].Store(1 << 62)
 		}
 	}()
-	c.alive[sender].Store(-1)
+	c.usableFrom[sender].Store(-1)
 }
 
-// Back says that a sender serves again.
+// Back marks a sender as serving again.
 func (c *Clients) Back(sender int) {
 	c.leaving[sender].Store(false)
-	c.alive[sender].Store(0)
+	c.usableFrom[sender].Store(0)
 }
 
-// hand hands an effect in.
-func (c *Clients) hand(e *effect, intended rules.Millis, again bool, retry string) {
-	defer c.handing.Done()
-	w, now := c.stage.World, c.stage.Clock.Now()
-	left := e.from + w.Settings.Grades[e.Grade].ClientTimeout - now
-	if left < 1 {
+// submit submits an effect to a sender, and again later if the response allows it. intended is the time at which this
+// submission should have been made, and retry the value of the Client-Retry header, empty for none.
+func (c *Clients) submit(e *effect, intended rules.Millis, resubmitted bool, retry string) {
+	defer c.inFlight.Done()
+	w, now := c.env.World, c.env.Clock.Now()
+	remaining := e.firstAt + w.Settings.Grades[e.Grade].ClientTimeout - now
+	if remaining < 1 {
 		return
 	}
-	sender := c.choose()
-	id := fmt.Sprintf("n%d-%s", c.numbers.Add(1), e.name)
-	// An id is noted before the sender can have it.
-	c.stage.Record.Hand(audit.Hand{ID: id, Effect: e.name, Mark: e.mark, Grade: e.Grade, Portfolio: e.Portfolio, Key: e.Key,
-		Dest: e.Destination, Sender: sender, At: now, Until: now + left, Intended: e.from, Again: again})
+	sender := c.chooseSender()
+	id := fmt.Sprintf("n%d-%s", c.lastNumber.Add(1), e.name)
+	// The submission is recorded before the sender can receive its ID.
+	c.env.Record.Submitted(audit.Hand{ID: id, Effect: e.name, Mark: e.mark, Grade: e.Grade,
+		Portfolio: e.Portfolio, Key: e.Key, Dest: e.Destination, Sender: sender, At: now, Until: now + remaining,
+		Intended: e.firstAt, Again: resubmitted})
 	c.mu.Lock()
 	c.pending[id] = e
 	c.mu.Unlock()
-	status, after, sent := c.ask(sender, e, id, left, retry)
-	at := c.stage.Clock.Now()
+	status, retryAfter, sent := c.exchange(sender, e, id, remaining, retry)
+	at := c.env.Clock.Now()
 	if c.Answer != nil {
 		c.Answer(status, at-intended)
 	}
 	if status > 0 {
-		c.stage.Record.Answered(id, status, at)
+		c.env.Record.Answered(id, status, at)
 	}
 	switch {
 	case status == 202 || status == 200:
 		return
 	case status == 429 || status == 503:
-		c.again(id, e, max(after, 20), "1")
+		c.resubmit(id, e, max(retryAfter, 20), "1")
 	case status == 0 && (!sent || w.Settings.Grades[e.Grade].Repeat != rules.AtMostOnce):
-		// Nobody may have it: but what must not run twice comes again only if no sender can have read it.
-		mark := "again"
+		// The sender may not have received it. An at-most-once effect is submitted again only if no sender can have
+		// read it.
+		clientRetry := "again"
 		if !sent {
-			mark = ""
+			clientRetry = ""
 		}
-		c.again(id, e, 100, mark)
+		c.resubmit(id, e, 100, clientRetry)
 	}
 	c.mu.Lock()
 	delete(c.pending, id)
 	c.mu.Unlock()
 }
 
-// again hands a dismissed effect in once more after a while, if its client wants it and there is time.
-func (c *Clients) again(id string, e *effect, after rules.Millis, retry string) {
-	w := c.stage.World
+// resubmit submits an effect once more after a delay, if its client chooses to and the client timeout allows it.
+func (c *Clients) resubmit(id string, e *effect, after rules.Millis, retry string) {
+	w := c.env.World
 	c.mu.Lock()
-	wants := c.draw.Float64() < w.Traffic.Again
+	retries := c.random.Float64() < w.Traffic.Again
 	delete(c.pending, id)
 	c.mu.Unlock()
-	at := c.stage.Clock.Now() + after
-	if !wants || at >= e.from+w.Settings.Grades[e.Grade].ClientTimeout {
+	at := c.env.Clock.Now() + after
+	if !retries || at >= e.firstAt+w.Settings.Grades[e.Grade].ClientTimeout {
 		return
 	}
-	c.handing.Add(1)
+	c.inFlight.Add(1)
 	go func() {
-		if !c.stage.sleep(span(after)) {
-			c.handing.Done()
+		if !c.env.sleep(toDuration(after)) {
+			c.inFlight.Done()
 			return
 		}
-		c.hand(e, at, true, retry)
+		c.submit(e, at, true, retry)
 	}()
 }
 
-// Ended takes the platform's word that a notice has ended.
+// Ended handles a final outcome that the platform received. A dismissed notice may be submitted again.
 func (c *Clients) Ended(e directory.End) {
 	c.mu.Lock()
-	effect := c.pending[e.Message]
+	submitted := c.pending[e.Message]
 	delete(c.pending, e.Message)
 	c.mu.Unlock()
-	if effect != nil && e.Outcome == directory.HandedBack {
-		c.again(e.Message, effect, max(rules.Millis(e.RetryInMS), 20), "1")
+	if submitted != nil && e.Outcome == directory.HandedBack {
+		c.resubmit(e.Message, submitted, max(rules.Millis(e.RetryInMS), 20), "1")
 	}
 }
 
-func (p *pool) has() bool {
+// hasIdle reports whether there is an idle connection.
+func (p *pool) hasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0
 }
 
-func (p *pool) take() *link {
+// take removes the most recently used connection and returns it, or nil. It closes those that have been idle for 1.5 s.
+func (p *pool) take() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
 		l := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if time.Since(l.used) < 1500*time.Millisecond {
+		if time.Since(l.lastUsed) < 1500*time.Millisecond {
 			return l
 		}
 		l.Close()
@@ -258,86 +271,91 @@
 	return nil
 }
 
-func (p *pool) put(l *link) {
-	l.used = time.Now()
+// put adds a connection that has become idle, and closes those that have been idle for longer than 1.5 s.
+func (p *pool) put(l *clientConn) {
+	l.lastUsed = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle = append(p.idle, l)
-	// Those at the front have stood idle for longest.
-	for len(p.idle) > 0 && time.Since(p.idle[0].used) > 1500*time.Millisecond {
+	// The connections at the front have been idle for the longest time.
+	for len(p.idle) > 0 && time.Since(p.idle[0].lastUsed) > 1500*time.Millisecond {
 		p.idle[0].Close()
 		p.idle = p.idle[1:]
 	}
 }
 
-// ask hands in and hears the answer. sent is false if no byte can have reached the sender.
-func (c *Clients) ask(sender int, e *effect, id string, left rules.Millis, retry string) (status int, after rules.Millis, sent bool) {
-	w := c.stage.World
-	deadline := time.Now().Add(span(w.Traffic.Patience))
-	var b bytes.Buffer
+// exchange sends one submission and returns the status of the response, 0 if there was none, and its Retry-After wait.
+// sent is false if no byte can have reached the sender.
+func (c *Clients) exchange(sender int, e *effect, id string, remaining rules.Millis, retry string) (status int,
+	retryAfter rules.Millis, sent bool) {
+	w := c.env.World
+	deadline := time.Now().Add(toDuration(w.Traffic.Patience))
+	var request bytes.Buffer
 	grade := w.Names.Grades[e.Grade]
-	fmt.Fprintf(&b, "POST /%s HTTP/1.1\r\nHost: sender\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n"+
-		"X-Consignee: dest=%d\r\nContent-Length: %d\r\n", grade, id, grade, int(left), e.Destination, e.Body)
+	fmt.Fprintf(&request, "POST /%s HTTP/1.1\r\nHost: sender\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
+		"Request-Timeout-Ms: %d\r\nX-Consignee: dest=%d\r\nContent-Length: %d\r\n", grade, id, grade, int(remaining),
+		e.Destination, e.Body)
 	if e.Portfolio < len(w.Names.Portfolios) {
-		fmt.Fprintf(&b, "Tenant: %s\r\n", w.Names.Portfolios[e.Portfolio])
+		fmt.Fprintf(&request, "Tenant: %s\r\n", w.Names.Portfolios[e.Portfolio])
 	}
 	if e.mark != "" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", e.mark)
+		fmt.Fprintf(&request, "Idempotency-Key: %s\r\n", e.mark)
 	}
 	if e.Key > 0 {
-		fmt.Fprintf(&b, "Affinity-Key: k%d\r\n", e.Key)
+		fmt.Fprintf(&request, "Affinity-Key: k%d\r\n", e.Key)
 	}
 	if retry != "" {
-		fmt.Fprintf(&b, "Client-Retry: %s\r\n", retry)
+		fmt.Fprintf(&request, "Client-Retry: %s\r\n", retry)
 	}
-	b.WriteString("\r\n")
-	b.Write(bytes.Repeat([]byte{'b'}, e.Body))
-	for fresh := false; ; fresh = true {
-		l := c.pools[sender].take()
-		if l == nil || fresh {
-			if l != nil {
-				l.Close()
+	request.WriteString("\r\n")
+	request.Write(bytes.Repeat([]byte{'b'}, e.Body))
+	for newConnection := false; ; newConnection = true {
+		current := c.pools[sender].take()
+		if current == nil || newConnection {
+			if current != nil {
+				current.Close()
 			}
-			conn, err := net.DialTimeout("tcp", c.names[sender], time.Until(deadline))
+			conn, err := net.DialTimeout("tcp", c.addresses[sender], time.Until(deadline))
 			if err != nil {
 				return 0, 0, sent
 			}
-			l, fresh = &link{Conn: conn, in: bufio.NewReaderSize(conn, 512)}, true
+			current, newConnection = &clientConn{Conn: conn, reader: bufio.NewReaderSize(conn, 512)}, true
 		}
-		l.SetDeadline(deadline)
-		if _, err := l.Write(b.Bytes()); err != nil {
-			l.Close()
-			if !fresh {
+		current.SetDeadline(deadline)
+		if _, err := current.Write(request.Bytes()); err != nil {
+			current.Close()
+			if !newConnection {
 				continue
 			}
 			return 0, 0, true
 		}
 		sent = true
-		answer := fasthttp.AcquireResponse()
-		defer fasthttp.ReleaseResponse(answer)
-		if err := answer.Read(l.in); err != nil {
-			l.Close()
-			// A kept connection that the sender closed before it read the request: once more on a new one.
-			if !fresh && (errors.Is(err, io.EOF) || errors.As(err, &fasthttp.ErrNothingRead{})) && time.Now().Before(deadline) {
+		response := fasthttp.AcquireResponse()
+		defer fasthttp.ReleaseResponse(response)
+		if err := response.Read(current.reader); err != nil {
+			current.Close()
+			// The sender closed a kept connection before it read the request: retry once on a new connection.
+			if !newConnection && (errors.Is(err, io.EOF) || errors.As(err, &fasthttp.ErrNothingRead{})) &&
+				time.Now().Before(deadline) {
 				continue
 			}
 			return 0, 0, true
 		}
-		if told := answer.Header.Peek("Retry-After"); len(told) > 0 {
-			if s, err := strconv.ParseFloat(string(told), 64); err == nil {
-				after = rules.Millis(s * 1000)
+		if header := response.Header.Peek("Retry-After"); len(header) > 0 {
+			if s, err := strconv.ParseFloat(string(header), 64); err == nil {
+				retryAfter = rules.Millis(s * 1000)
 			}
 		}
-		if answer.ConnectionClose() {
-			l.Close()
+		if response.ConnectionClose() {
+			current.Close()
 		} else {
-			c.pools[sender].put(l)
+			c.pools[sender].put(current)
 		}
-		return answer.StatusCode(), after, true
+		return response.StatusCode(), retryAfter, true
 	}
 }
 
-// Quit ends the clients' idle connections.
+// Quit closes the clients' idle connections.
 func (c *Clients) Quit() {
 	for _, p := range c.pools {
 		p.mu.Lock()
@@ -349,35 +367,36 @@
 	}
 }
 
-// hostile plays bad clients while a fault lasts.
-func (c *Clients) hostile(f scenario.Fault, draw *rand.Rand) {
-	defer c.handing.Done()
-	if !c.stage.at(f.At) {
+// runHostileClients runs clients that send invalid requests or read no responses, for as long as a fault lasts.
+func (c *Clients) runHostileClients(fault scenario.Fault, random *rand.Rand) {
+	defer c.inFlight.Done()
+	if !c.env.waitUntil(fault.At) {
 		return
 	}
-	var all sync.WaitGroup
-	for range int(max(f.Size, 1)) {
-		kind, seed := draw.IntN(len(bad)+1), draw.Uint64()
-		all.Add(1)
+	var clients sync.WaitGroup
+	for range int(max(fault.Size, 1)) {
+		kind, seed := random.IntN(len(hostileRequests)+1), random.Uint64()
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			own := rand.New(rand.NewPCG(seed, 1))
-			for c.stage.Clock.Now() < f.Until() && c.stage.sleep(10*time.Millisecond) {
-				to := c.names[own.IntN(len(c.names))]
-				if kind == len(bad) {
-					c.neverRead(to, f.Until())
+			defer clients.Done()
+			clientRandom := rand.New(rand.NewPCG(seed, 1))
+			for c.env.Clock.Now() < fault.Until() && c.env.sleep(10*time.Millisecond) {
+				address := c.addresses[clientRandom.IntN(len(c.addresses))]
+				if kind == len(hostileRequests) {
+					c.sendWithoutReading(address, fault.Until())
 				} else {
-					c.offend(to, bad[kind](own))
+					c.sendInvalid(address, hostileRequests[kind](clientRandom))
 				}
-				kind = own.IntN(len(bad) + 1)
+				kind = clientRandom.IntN(len(hostileRequests) + 1)
 			}
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 }
 
-// bad makes what bad clients send; empty: they say nothing.
-var bad = []func(draw *rand.Rand) string{
+// hostileRequests generate what hostile clients send. The empty one stands for a client that connects and sends
+// nothing.
+var hostileRequests = []func(random *rand.Rand) string{
 	func(*rand.Rand) string { return "" },
 	func(*rand.Rand) string { return "\x16\x03\x01\x02\x00 hello\r\n\r\n" },
 	func(*rand.Rand) string {
@@ -395,41 +414,43 @@
 	},
 }
 
-// neverRead asks on and on and reads no answer.
-func (c *Clients) neverRead(address string, until rules.Millis) {
+// sendWithoutReading sends requests until a time, for at most 2 s, and reads no response.
+func (c *Clients) sendWithoutReading(address string, until rules.Millis) {
 	conn, err := net.DialTimeout("tcp", address, 400*time.Millisecond)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	c.Bad.Add(1)
-	text := []byte(strings.Repeat("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n", 100))
-	conn.SetWriteDeadline(time.Now().Add(min(max(c.stage.Clock.Until(until), 0), 2*time.Second)))
+	requests := []byte(strings.Repeat("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n", 100))
+	conn.SetWriteDeadline(time.Now().Add(min(max(c.env.Clock.Until(until), 0), 2*time.Second)))
 	for {
-		if _, err := conn.Write(text); err != nil {
+		if _, err := conn.Write(requests); err != nil {
 			return
 		}
 	}
 }
 
-// offend sends what is bad and notes whether it got an error or a close within 3 s.
-func (c *Clients) offend(address, text string) {
+// sendInvalid sends an invalid request and counts whether it got an error response or a close within 3 s and a margin
+// of 200 ms.
+func (c *Clients) sendInvalid(address, request string) {
 	conn, err := net.DialTimeout("tcp", address, 400*time.Millisecond)
 	if err != nil {
-		return // a sender that is away
+		return // the sender is down
 	}
 	defer conn.Close()
 	c.Bad.Add(1)
 	conn.SetDeadline(time.Now().Add(3200 * time.Millisecond))
-	io.WriteString(conn, text)
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	var late net.Error
-	isLate := false
+	io.WriteString(conn, request)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	var netErr net.Error
+	timedOut := false
 	if err != nil {
-		late, isLate = err.(net.Error)
-		isLate = isLate && late.Timeout()
+		netErr, timedOut = err.(net.Error)
+		timedOut = timedOut && netErr.Timeout()
 	}
-	if isLate || err == nil && !slices.Contains([]int{400, 404, 405, 408, 413, 431, 501, 503, 505}, answer.StatusCode) {
+	if timedOut ||
+		err == nil && !slices.Contains([]int{400, 404, 405, 408, 413, 431, 501, 503, 505}, response.StatusCode) {
 		c.BadOpen.Add(1)
 	}
 }
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -19,7 +19,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Asked is a call that a receiver has read.
+// Asked is a call that a receiver has read, as passed to a test's script.
 type Asked struct {
 	ID, Mark, Receiver, Remote string
 	Path                       string
@@ -27,72 +27,72 @@
 	Gone                       <-chan struct{} // closed when the sender ends the connection
 }
 
-// Reply is what a script answers to a call.
+// Reply is the response to a call, as a test's script decides it.
 type Reply struct {
 	Status int
 	Fields []string // header lines
 	Body   string
-	Raw    string        // in place of all of these: these bytes
-	After  time.Duration // before the answer
-	Close  bool          // the connection ends behind it
-	Reset  bool          // it is reset, after Raw
-	Never  bool          // there is no answer
-	Ran    bool          // it took effect
+	Raw    string        // bytes to write in place of a response made of the fields above
+	After  time.Duration // delay before the response
+	Close  bool          // close the connection after the response
+	Reset  bool          // reset the connection, after writing Raw
+	Never  bool          // send no response
+	Ran    bool          // the call took effect
 }
 
-// Gateways is all destinations of a run.
+// Gateways serves all destinations of a run.
 type Gateways struct {
-	stage *Stage
-	// Script answers calls in place of the scenario's shapes, for tests.
+	env *Stage
+	// Script, if set, decides the responses in place of the scenario's destinations. Tests use it.
 	Script func(*Asked) Reply
 
-	mu        sync.Mutex
-	dests     map[int]*dest
-	receivers map[string]*receiver
+	mu           sync.Mutex
+	destinations map[int]*destination
+	receivers    map[string]*receiver
 }
 
-// dest is one destination.
-type dest struct {
-	*gateway.Site // under mu
+// destination is one destination with the number of its open connections.
+type destination struct {
+	*gateway.Site // guarded by mu
 	mu            sync.Mutex
-	open          int // connections
+	open          int // number of open connections
 }
 
-// receiver is one of its receivers.
+// receiver is one receiver of a destination, on its own address.
 type receiver struct {
-	id, address string
-	all         *Gateways
-	dest        *dest
-	mu          sync.Mutex
-	listener    *net.TCPListener
-	conns       map[net.Conn]bool
-	fillers     []net.Conn // connections that keep others from coming up
-	paused      chan struct{}
-	resetsUntil time.Time // what the kernel had let up while nobody accepted is reset
-	closed      bool
-}
-
-// NewGateways opens the receivers of a world.
-func NewGateways(s *Stage) (*Gateways, error) {
-	g := &Gateways{stage: s, dests: map[int]*dest{}, receivers: map[string]*receiver{}}
-	for _, d := range s.World.Destinations {
-		own := &dest{Site: gateway.NewSite(s.World, d)}
-		g.dests[d.Number] = own
+	id, address  string
+	gateways     *Gateways
+	destination  *destination
+	mu           sync.Mutex
+	listener     *net.TCPListener
+	conns        map[net.Conn]bool
+	queueFillers []net.Conn    // connections that fill the kernel's accept queue
+	paused       chan struct{} // closed when a blocked receiver is unblocked; nil while it is not blocked
+	resetsUntil  time.Time     // until then, connections are reset: the kernel established them during a block
+	closed       bool
+}
+
+// NewGateways opens the receivers of a scenario instance.
+func NewGateways(env *Stage) (*Gateways, error) {
+	g := &Gateways{env: env, destinations: map[int]*destination{}, receivers: map[string]*receiver{}}
+	for _, d := range env.World.Destinations {
+		opened := &destination{Site: gateway.NewSite(env.World, d)}
+		g.destinations[d.Number] = opened
 		for _, id := range d.Receivers {
 			if err := g.Open(id, d.Number); err != nil {
 				return nil, err
 			}
 		}
-		go g.watchOutages(own)
+		go g.watchOutages(opened)
 	}
 	return g, nil
 }
 
-// watchOutages tells a destination when its outages begin and end.
-func (g *Gateways) watchOutages(d *dest) {
+// watchOutages updates a destination whenever one of its outages begins or ends.
+func (g *Gateways) watchOutages(d *destination) {
 	for at := rules.Millis(0); ; {
 		next := d.NextOutage(at)
-		if next < 0 || !g.stage.at(next) {
+		if next < 0 || !g.env.waitUntil(next) {
 			return
 		}
 		at = next
@@ -102,65 +102,67 @@
 	}
 }
 
-// Open begins a receiver of a destination under a new id.
-func (g *Gateways) Open(id string, destination int) error {
-	l, err := g.stage.Listen()
+// Open opens a receiver of a destination under a new ID, on an unused address.
+func (g *Gateways) Open(id string, number int) error {
+	l, err := g.env.Listen()
 	if err != nil {
 		return err
 	}
-	return g.open(id, destination, l)
+	return g.open(id, number, l)
 }
 
-// OpenAt begins a receiver at an address.
-func (g *Gateways) OpenAt(id string, destination int, address string) error {
+// OpenAt opens a receiver of a destination at a given address.
+func (g *Gateways) OpenAt(id string, number int, address string) error {
 	l, err := listenOn(address)
 	if err != nil {
 		return fmt.Errorf("opening receiver %s: %w", id, err)
 	}
-	return g.open(id, destination, l)
+	return g.open(id, number, l)
 }
 
-func (g *Gateways) open(id string, destination int, l net.Listener) error {
-	r := &receiver{id: id, address: l.Addr().String(), all: g, dest: g.dests[destination], listener: l.(*net.TCPListener),
-		conns: map[net.Conn]bool{}}
+// open starts a receiver on a listener.
+func (g *Gateways) open(id string, number int, l net.Listener) error {
+	r := &receiver{id: id, address: l.Addr().String(), gateways: g, destination: g.destinations[number],
+		listener: l.(*net.TCPListener), conns: map[net.Conn]bool{}}
 	g.mu.Lock()
 	g.receivers[id] = r
 	g.mu.Unlock()
 	go r.accept(r.listener)
-	go r.followScript()
-	go func() { <-g.stage.done; r.shut() }()
+	go r.followFaults()
+	go func() { <-g.env.done; r.close() }()
 	return nil
 }
 
-// Gone ends a receiver for good.
+// Gone removes a receiver and resets its connections.
 func (g *Gateways) Gone(id string) {
 	g.mu.Lock()
 	r := g.receivers[id]
 	delete(g.receivers, id)
 	g.mu.Unlock()
 	if r != nil {
-		r.shut()
+		r.close()
 	}
 }
 
-// Block keeps new connections to a receiver from coming up until Unblock.
-func (g *Gateways) Block(id string) error { return g.with(id, (*receiver).block) }
+// Block prevents new connections to a receiver from being established until Unblock is called.
+func (g *Gateways) Block(id string) error { return g.withReceiver(id, (*receiver).block) }
 
-// Unblock lets new connections to a receiver come up again.
-func (g *Gateways) Unblock(id string) error { return g.with(id, (*receiver).unblock) }
+// Unblock lets new connections to a receiver be established again.
+func (g *Gateways) Unblock(id string) error { return g.withReceiver(id, (*receiver).unblock) }
 
-func (g *Gateways) with(id string, do func(*receiver)) error {
+// withReceiver calls a function with the receiver of an ID.
+func (g *Gateways) withReceiver(id string, do func(*receiver)) error {
 	g.mu.Lock()
 	r := g.receivers[id]
 	g.mu.Unlock()
 	if r == nil {
-		return fmt.Errorf("no receiver %s", id)
+		return fmt.Errorf("receiver %q does not exist", id)
 	}
 	do(r)
 	return nil
 }
 
-// Address is where a receiver takes calls.
+// Address returns the address of a receiver, or "" if it does not exist.
 func (g *Gateways) Address(id string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -170,7 +172,8 @@
 	return ""
 }
 
-func (r *receiver) shut() {
+// close closes the receiver for good.
+func (r *receiver) close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
@@ -190,6 +193,7 @@
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -197,7 +201,7 @@
 	c.Close()
 }
 
-// listen opens the same address again.
+// listen listens on the receiver's address again. If that fails, it retries for 2 s.
 func (r *receiver) listen() {
 	for range 100 {
 		r.mu.Lock()
@@ -213,13 +217,13 @@
 			return
 		}
 		r.mu.Unlock()
-		if !r.all.stage.sleep(20 * time.Millisecond) {
+		if !r.gateways.env.sleep(20 * time.Millisecond) {
 			return
 		}
 	}
 }
 
-// block keeps new connections from coming up: nobody accepts, and the kernel's queue is full.
+// block prevents new connections from being established: it stops accepting and fills the kernel's accept queue.
 func (r *receiver) block() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,14 +232,15 @@
 	}
 	r.paused = make(chan struct{})
 	r.listener.SetDeadline(time.Unix(1, 0))
-	backlog(r.listener, 0)
+	setBacklog(r.listener, 0)
 	for range 2 {
 		if c, err := net.DialTimeout("tcp", r.address, 50*time.Millisecond); err == nil {
-			r.fillers = append(r.fillers, c)
+			r.queueFillers = append(r.queueFillers, c)
 		}
 	}
 }
 
+// unblock closes the connections that fill the accept queue, and accepts connections again.
 func (r *receiver) unblock() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,19 +250,19 @@
 	close(r.paused)
 	r.paused = nil
 	r.resetsUntil = time.Now().Add(30 * time.Millisecond)
-	for _, c := range r.fillers {
+	for _, c := range r.queueFillers {
 		c.Close()
 	}
-	r.fillers = nil
+	r.queueFillers = nil
 	if r.listener != nil {
 		r.listener.SetDeadline(time.Time{})
-		backlog(r.listener, 4096)
+		setBacklog(r.listener, 4096)
 	}
 }
 
-// followScript opens, closes and blocks the receiver as the faults say.
-func (r *receiver) followScript() {
-	faults := r.dest.Faults
+// followFaults opens, closes, blocks and unblocks the receiver at the times of its destination's faults.
+func (r *receiver) followFaults() {
+	faults := r.destination.Faults
 	for at := rules.Millis(0); ; {
 		refused, blocked := false, false
 		for _, f := range faults {
@@ -268,7 +273,7 @@
 				blocked = blocked || f.Active(at)
 			}
 		}
-		if r.all.stage.Clock.Now() >= 0 {
+		if r.gateways.env.Clock.Now() >= 0 {
 			if refused {
 				r.refuse()
 			} else {
@@ -286,36 +291,38 @@
 				next = n
 			}
 		}
-		if next < 0 || !r.all.stage.at(next) {
+		if next < 0 || !r.gateways.env.waitUntil(next) {
 			return
 		}
 		at = next
 	}
 }
 
+// accept accepts connections until the listener is replaced or closed. It resets those over the destination's limit and
+// those that arrived while the receiver was closed or blocked.
 func (r *receiver) accept(l *net.TCPListener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			r.mu.Lock()
 			paused := r.paused
-			mine := r.listener == l
+			current := r.listener == l
 			r.mu.Unlock()
 			switch {
-			case !mine:
+			case !current:
 				return
 			case paused != nil:
 				select {
 				case <-paused:
-				case <-r.all.stage.done:
+				case <-r.gateways.env.done:
 					return
 				}
-			case !r.all.stage.sleep(time.Millisecond):
+			case !r.gateways.env.sleep(time.Millisecond):
 				return
 			}
 			continue
 		}
-		d := r.dest
+		d := r.destination
 		d.mu.Lock()
 		full := d.Group.Shape.Connections > 0 && d.open >= d.Group.Shape.Connections
 		if !full {
@@ -323,12 +330,12 @@
 		}
 		d.mu.Unlock()
 		r.mu.Lock()
-		late := r.closed || r.listener != l || time.Now().Before(r.resetsUntil)
-		if !late {
+		stale := r.closed || r.listener != l || time.Now().Before(r.resetsUntil)
+		if !stale {
 			r.conns[c] = true
 		}
 		r.mu.Unlock()
-		if full || late {
+		if full || stale {
 			reset(c)
 			if !full {
 				d.mu.Lock()
@@ -341,341 +348,353 @@
 	}
 }
 
-// read is a request as it came.
-type read struct {
+// receivedRequest is a request with the times of its first and last byte.
+type receivedRequest struct {
 	first, last    rules.Millis
 	id, mark, path string
 	body           []byte
 }
 
-// line is a connection from a sender, which one goroutine serves.
-type line struct {
+// connection is a connection from a sender, served by one goroutine.
+type connection struct {
 	net.Conn
-	in   *bufio.Reader
-	gone chan struct{} // closed when the sender has ended it; nil while nobody looks
-	next chan struct{} // closed when there is something to read, or the end
-	ours atomic.Bool   // it ended from the gateway's side
+	reader        *bufio.Reader
+	peerClosed    chan struct{} // closed when the sender has ended the connection; nil while nothing watches for it
+	readable      chan struct{} // closed when a byte can be read or the connection has ended
+	closedLocally atomic.Bool   // the gateway closed it
 
-	received int        // calls
-	doubtful []answered // that a sender may have taken for other calls' answers if the connection ends now
+	callCount int // calls received so far
+	// retractable holds the calls whose responses the sender may retract if the connection ends now.
+	retractable []answeredCall
 }
 
-// answered is a call with the status of its answer.
-type answered struct {
+// answeredCall is a call with the status of its response.
+type answeredCall struct {
 	call   *audit.Call
 	status int
 }
 
-// doubtfulKept is how many calls of a connection are told when it ends.
-const doubtfulKept = 64
+// maxRetractable limits for how many calls of a connection its end is recorded.
+const maxRetractable = 64
 
-// noteAnswered keeps a call that was answered. Of the calls before it goes which a like answer has followed that the sender must have heard,
-// which it need not have heard of the last one.
-func (l *line) noteAnswered(call *audit.Call, status int) {
-	last := len(l.doubtful) - 1
+// recordResponse adds a call with its response to the retractable ones. Of the earlier calls, it drops one whose
+// response was followed by another with the same status, if the sender must have received that one. It need not have
+// received the response to the newest call.
+func (l *connection) recordResponse(call *audit.Call, status int) {
+	last := len(l.retractable) - 1
 	switch {
-	case last > 0 && l.doubtful[last-1].status == l.doubtful[last].status:
-		l.doubtful = slices.Delete(l.doubtful, last-1, last)
-	case len(l.doubtful) == doubtfulKept:
-		l.doubtful = slices.Delete(l.doubtful, 0, 1)
+	case last > 0 && l.retractable[last-1].status == l.retractable[last].status:
+		l.retractable = slices.Delete(l.retractable, last-1, last)
+	case len(l.retractable) == maxRetractable:
+		l.retractable = slices.Delete(l.retractable, 0, 1)
 	}
-	l.doubtful = append(l.doubtful, answered{call, status})
+	l.retractable = append(l.retractable, answeredCall{call, status})
 }
 
-// noteEnd notes the end of a connection with the calls that were answered on it.
-func (l *line) noteEnd(stage *Stage) {
-	at := stage.Clock.Now()
-	for i, a := range l.doubtful {
-		last := i == len(l.doubtful)-1
-		stage.Record.Change(a.call, func(c *audit.Call) {
+// recordEnd records the end of the connection for the retractable calls.
+func (l *connection) recordEnd(env *Stage) {
+	at := env.Clock.Now()
+	for i, a := range l.retractable {
+		last := i == len(l.retractable)-1
+		env.Record.Update(a.call, func(c *audit.Call) {
 			c.Ended = at
-			// An answer that a reset follows may never have been read.
-			if last && l.ours.Load() && c.Closed == 0 {
+			// The sender may never have read a response that was followed by a reset.
+			if last && l.closedLocally.Load() && c.Closed == 0 {
 				c.Closed = at
 			}
 		})
 	}
 }
 
-// watch looks, beside whoever serves the connection, whether the sender ends it.
-func (l *line) watch() <-chan struct{} {
-	if l.gone == nil {
-		l.gone, l.next = make(chan struct{}), make(chan struct{})
-		go func(gone, next chan struct{}) {
-			defer close(next)
-			if !l.peek() {
-				close(gone)
+// watchPeer starts a goroutine, if none is running, that waits for the next byte while the connection is served. The
+// channel that it returns is closed when the sender ends the connection.
+func (l *connection) watchPeer() <-chan struct{} {
+	if l.peerClosed == nil {
+		l.peerClosed, l.readable = make(chan struct{}), make(chan struct{})
+		go func(peerClosed, readable chan struct{}) {
+			defer close(readable)
+			if !l.peekByte() {
+				close(peerClosed)
 			}
-		}(l.gone, l.next)
+		}(l.peerClosed, l.readable)
 	}
-	return l.gone
+	return l.peerClosed
 }
 
-// ended tells whether the sender has ended the connection, or its sending side.
-func (l *line) ended() bool {
+// peerEnded reports whether the sender has closed the connection or its sending side.
+func (l *connection) peerEnded() bool {
 	select {
-	case <-l.watch():
+	case <-l.watchPeer():
 		return true
 	default:
 		return false
 	}
 }
 
-// await waits until there is something to read.
-func (l *line) await(done <-chan struct{}) bool {
-	if l.next != nil {
+// awaitReadable waits for the next byte and reports whether there is one.
+func (l *connection) awaitReadable(done <-chan struct{}) bool {
+	if l.readable != nil {
 		select {
-		case <-l.next:
+		case <-l.readable:
 		case <-done:
 			return false
 		}
-		l.gone, l.next = nil, nil
+		l.peerClosed, l.readable = nil, nil
 	}
-	return l.peek()
+	return l.peekByte()
 }
 
-// peek waits for the next byte, and notes whose end it was if none comes.
-func (l *line) peek() bool {
-	_, err := l.in.Peek(1)
+// peekByte waits for the next byte and reports whether there is one. If the gateway closed the connection, it records
+// that.
+func (l *connection) peekByte() bool {
+	_, err := l.reader.Peek(1)
 	if errors.Is(err, net.ErrClosed) {
-		l.ours.Store(true)
+		l.closedLocally.Store(true)
 	}
 	return err == nil
 }
 
-// serve answers the calls of one connection.
+// serve responds to the calls of one connection.
 func (r *receiver) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		r.mu.Lock()
 		delete(r.conns, c)
 		r.mu.Unlock()
-		r.dest.mu.Lock()
-		r.dest.open--
-		r.dest.mu.Unlock()
+		r.destination.mu.Lock()
+		r.destination.open--
+		r.destination.mu.Unlock()
 	}()
-	l := &line{Conn: c, in: bufio.NewReaderSize(c, 4096)}
-	defer l.noteEnd(r.all.stage)
+	l := &connection{Conn: c, reader: bufio.NewReaderSize(c, 4096)}
+	defer l.recordEnd(r.gateways.env)
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
-	for l.await(r.all.stage.done) {
-		q, ok := r.receive(l, request)
-		if !ok || !r.answer(l, q) {
+	for l.awaitReadable(r.gateways.env.done) {
+		received, ok := r.receive(l, request)
+		if !ok || !r.respond(l, received) {
 			return
 		}
 	}
 }
 
-// receive reads a request.
-func (r *receiver) receive(l *line, request *fasthttp.Request) (read, bool) {
-	stage := r.all.stage
-	q := read{first: stage.Clock.Now()}
-	if r.hold(scenario.Silent) {
+// receive reads a request. It returns false if the connection is of no further use.
+func (r *receiver) receive(l *connection, request *fasthttp.Request) (receivedRequest, bool) {
+	env := r.gateways.env
+	received := receivedRequest{first: env.Clock.Now()}
+	if r.waitOutFault(scenario.Silent) {
 		reset(l.Conn)
-		return q, false
+		return received, false
 	}
-	if _, struck := r.strike(scenario.ResetBefore, -1); struck {
-		stage.Record.Call(audit.Call{Receiver: r.id, Dest: r.dest.Number, First: q.first, Last: q.first, Unread: true,
-			Fault: scenario.ResetBefore})
+	if _, drawn := r.drawFault(scenario.ResetBefore, -1); drawn {
+		env.Record.Call(audit.Call{Receiver: r.id, Dest: r.destination.Number, First: received.first,
+			Last: received.first, Unread: true, Fault: scenario.ResetBefore})
 		reset(l.Conn)
-		return q, false
+		return received, false
 	}
-	if request.ReadLimitBody(l.in, 1<<20) != nil {
-		return q, false
+	if request.ReadLimitBody(l.reader, 1<<20) != nil {
+		return received, false
 	}
-	q.id, q.mark = string(request.Header.Peek("Request-Id")), string(request.Header.Peek("Idempotency-Key"))
-	q.path, q.body, q.last = string(request.URI().Path()), request.Body(), stage.Clock.Now()
-	return q, true
+	received.id, received.mark = string(request.Header.Peek("Request-Id")),
+		string(request.Header.Peek("Idempotency-Key"))
+	received.path, received.body, received.last = string(request.URI().Path()), request.Body(), env.Clock.Now()
+	return received, true
 }
 
-// hold waits while a fault acts, and tells whether it did.
-func (r *receiver) hold(kind string) bool {
-	held := false
+// waitOutFault waits until no fault of a kind is active, and reports whether one was.
+func (r *receiver) waitOutFault(kind string) bool {
+	waited := false
 	for {
-		f, on := r.active(kind)
+		f, on := r.activeFault(kind)
 		if !on {
-			return held
+			return waited
 		}
-		held = true
-		if !r.all.stage.at(max(f.Next(r.all.stage.Clock.Now()), r.all.stage.Clock.Now()+1)) {
+		waited = true
+		if !r.gateways.env.waitUntil(max(f.Next(r.gateways.env.Clock.Now()), r.gateways.env.Clock.Now()+1)) {
 			return true
 		}
 	}
 }
 
-func (r *receiver) active(kind string) (scenario.Fault, bool) {
-	return r.dest.Active(kind, r.all.stage.Clock.Now())
+// activeFault returns the fault of a kind that is active now, if there is one.
+func (r *receiver) activeFault(kind string) (scenario.Fault, bool) {
+	return r.destination.Active(kind, r.gateways.env.Clock.Now())
 }
 
-// strike draws whether a fault strikes a call of a grade, -1 for any.
-func (r *receiver) strike(kind string, grade int) (scenario.Fault, bool) {
-	r.dest.mu.Lock()
-	defer r.dest.mu.Unlock()
-	return r.dest.Strike(kind, grade, r.all.stage.Clock.Now())
+// drawFault decides at random whether a fault of a kind affects a call of a grade, where -1 stands for any grade.
+func (r *receiver) drawFault(kind string, grade int) (scenario.Fault, bool) {
+	r.destination.mu.Lock()
+	defer r.destination.mu.Unlock()
+	return r.destination.Strike(kind, grade, r.gateways.env.Clock.Now())
 }
 
-// fate is what happens to a call: what the destination decides, or a test's script.
-type fate struct {
+// plannedResponse is what happens to a call, as decided by the destination or by a test's script.
+type plannedResponse struct {
 	Reply
-	at     rules.Millis // when the answer is due
-	wait   rules.Millis
-	slow   bool // a byte a second
-	spoilt bool
-	fault  string
-	unseen bool // lost before it was looked at
+	due           rules.Millis // when to write the response
+	requestedWait rules.Millis // the wait that the response asks for
+	slow          bool         // write one byte a second
+	malformed     bool         // the response cannot be read to its end
+	fault         string       // kind of the injected fault that causes it; empty: none
+	lostUnseen    bool         // the call is lost before the destination looks at it
 }
 
-// decide says what happens to a call.
-func (r *receiver) decide(now rules.Millis, sender, grade int) fate {
-	d := r.dest
+// decide asks the destination what happens to a call, and records an overload that the call causes.
+func (r *receiver) decide(now rules.Millis, sender, grade int) plannedResponse {
+	d := r.destination
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.Decide(now, sender, grade)
-	if f.Fell {
-		r.all.stage.Record.Fell(audit.Fall{Dest: d.Number, At: now, By: d.Core.Pushed(), Seen: d.SeenBy()})
-	}
-	return fate{Reply: Reply{Status: f.Status, Fields: f.Fields, Raw: f.Raw, Reset: f.Reset, Never: f.Never, Ran: f.Ran},
-		at: f.At, wait: f.Wait, slow: f.Slow, spoilt: f.Spoilt, fault: f.Fault, unseen: f.Unseen}
-}
-
-// answer answers one call, and tells whether the connection goes on.
-func (r *receiver) answer(c *line, q read) bool {
-	stage, id, mark := r.all.stage, q.id, q.mark
-	hand, known := stage.Record.HandOf(id)
-	noted := audit.Call{ID: id, Receiver: r.id, Mark: mark, Dest: r.dest.Number, Apart: r.apart(), First: q.first, Last: q.last,
-		Before: c.received}
-	c.received++
-	var f fate
+	verdict := d.Decide(now, sender, grade)
+	if verdict.Fell {
+		r.gateways.env.Record.Overloaded(audit.Fall{Dest: d.Number, At: now, By: d.Core.Pushed(), Seen: d.SeenBy()})
+	}
+	return plannedResponse{
+		Reply: Reply{Status: verdict.Status, Fields: verdict.Fields, Raw: verdict.Raw, Reset: verdict.Reset,
+			Never: verdict.Never, Ran: verdict.Ran},
+		due: verdict.At, requestedWait: verdict.Wait, slow: verdict.Slow, malformed: verdict.Spoilt,
+		fault: verdict.Fault, lostUnseen: verdict.Unseen}
+}
+
+// respond handles one call and reports whether the connection stays in use.
+func (r *receiver) respond(c *connection, received receivedRequest) bool {
+	env, id, mark := r.gateways.env, received.id, received.mark
+	submission, known := env.Record.SubmissionOf(id)
+	observed := audit.Call{ID: id, Receiver: r.id, Mark: mark, Dest: r.destination.Number,
+		Apart: r.hasSeparateRoutes(), First: received.first, Last: received.last, Before: c.callCount}
+	c.callCount++
+	var planned plannedResponse
 	switch {
-	case r.all.Script != nil:
-		f.Reply = r.all.Script(&Asked{ID: id, Mark: mark, Receiver: r.id, Remote: c.RemoteAddr().String(), Path: q.path,
-			Body: q.body, Gone: c.watch()})
-		f.at = stage.Clock.Now() + rules.Millis(f.After)/1e6
-	case !known && !stage.Strangers:
-		f = fate{Reply: Reply{Status: 400}, at: q.last}
+	case r.gateways.Script != nil:
+		planned.Reply = r.gateways.Script(&Asked{ID: id, Mark: mark, Receiver: r.id, Remote: c.RemoteAddr().String(),
+			Path: received.path, Body: received.body, Gone: c.watchPeer()})
+		planned.due = env.Clock.Now() + rules.Millis(planned.After)/1e6
+	case !known && !env.Strangers:
+		planned = plannedResponse{Reply: Reply{Status: 400}, due: received.last}
 	default:
 		if !known {
-			hand.Sender, hand.Grade = -1, -1
+			submission.Sender, submission.Grade = -1, -1
 		}
-		f = r.decide(q.last, hand.Sender, hand.Grade)
+		planned = r.decide(received.last, submission.Sender, submission.Grade)
 	}
-	noted.Ran, noted.Fault, noted.Unread = f.Ran, f.fault, f.unseen
-	call := stage.Record.Call(noted)
-	closed := func() {
-		at := stage.Clock.Now()
-		stage.Record.Change(call, func(c *audit.Call) { c.Closed = at })
+	observed.Ran, observed.Fault, observed.Unread = planned.Ran, planned.fault, planned.lostUnseen
+	call := env.Record.Call(observed)
+	recordClosed := func() {
+		at := env.Clock.Now()
+		env.Record.Update(call, func(c *audit.Call) { c.Closed = at })
 	}
-	if wait := max(stage.Clock.Until(f.at), f.After); wait > 0 || f.Never {
+	if wait := max(env.Clock.Until(planned.due), planned.After); wait > 0 || planned.Never {
 		due := time.NewTimer(wait)
 		defer due.Stop()
-		if f.Never {
+		if planned.Never {
 			due.Stop()
 		}
 		select {
 		case <-due.C:
-		case <-c.watch():
-			closed()
+		case <-c.watchPeer():
+			recordClosed()
 			return false
-		case <-stage.done:
+		case <-env.done:
 			return false
 		}
 	}
-	if r.hold(scenario.Silent) {
-		closed()
+	if r.waitOutFault(scenario.Silent) {
+		recordClosed()
 		reset(c.Conn)
 		return false
 	}
-	r.holdPause()
-	if r.all.Script == nil && c.ended() {
-		closed() // the sender has given the call up meanwhile: nothing is answered to it any more
+	r.waitOutPause()
+	if r.gateways.Script == nil && c.peerEnded() {
+		recordClosed() // the sender has abandoned the call in the meantime, so there is no response
 		return false
 	}
-	if f.Raw == "" && !f.Reset {
-		f.Raw = compose(f.Reply)
+	if planned.Raw == "" && !planned.Reset {
+		planned.Raw = formatResponse(planned.Reply)
 	}
-	if f.Raw != "" {
-		if !r.write(c, call, f) {
-			closed()
+	if planned.Raw != "" {
+		if !r.writeResponse(c, call, planned) {
+			recordClosed()
 			return false
 		}
 	}
 	switch {
-	case f.Reset:
-		closed()
+	case planned.Reset:
+		recordClosed()
 		reset(c.Conn)
 		return false
-	case f.spoilt:
-		// The connection stays open and is of no further use.
+	case planned.malformed:
+		// After a malformed response the connection stays open but is of no further use.
 		select {
-		case <-c.watch():
-		case <-stage.done:
+		case <-c.watchPeer():
+		case <-env.done:
 		}
 		return false
 	}
-	return !f.Close
+	return !planned.Close
 }
 
-// holdPause waits while nothing moves.
-func (r *receiver) holdPause() { r.hold(scenario.Pauses) }
+// waitOutPause waits until no pause fault is active.
+func (r *receiver) waitOutPause() { r.waitOutFault(scenario.Pauses) }
 
-func (r *receiver) apart() bool {
-	for i, name := range r.all.stage.World.Names.Kinds {
-		if name == r.dest.Group.Kind {
-			return r.all.stage.World.Settings.Kinds[i].Apart
+// hasSeparateRoutes reports whether senders treat the destination's receivers as separate routes.
+func (r *receiver) hasSeparateRoutes() bool {
+	for i, name := range r.gateways.env.World.Names.Kinds {
+		if name == r.destination.Group.Kind {
+			return r.gateways.env.World.Settings.Kinds[i].Apart
 		}
 	}
 	return false
 }
 
-func compose(r Reply) string {
-	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n", r.Status, http.StatusText(r.Status))
-	for _, field := range r.Fields {
+// formatResponse returns the bytes of a response.
+func formatResponse(reply Reply) string {
+	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n", reply.Status, http.StatusText(reply.Status))
+	for _, field := range reply.Fields {
 		text += field + "\r\n"
 	}
-	if r.Close {
+	if reply.Close {
 		text += "Connection: close\r\n"
 	}
-	return text + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(r.Body), r.Body)
+	return text + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(reply.Body), reply.Body)
 }
 
-// write writes an answer and notes when its first line was out.
-func (r *receiver) write(c *line, call *audit.Call, f fate) bool {
-	stage := r.all.stage
-	note := func() {
-		at := stage.Clock.Now()
-		stage.Record.Change(call, func(c *audit.Call) {
-			c.Replied, c.Status, c.Wait, c.Spoilt = at, f.Status, f.wait, f.spoilt
-			c.Delivered, c.Unfinished = f.Status == 200, f.slow
+// writeResponse writes a response and records when its status line was written. It returns false if writing failed or
+// the run ended.
+func (r *receiver) writeResponse(c *connection, call *audit.Call, planned plannedResponse) bool {
+	env := r.gateways.env
+	recordWritten := func() {
+		at := env.Clock.Now()
+		env.Record.Update(call, func(c *audit.Call) {
+			c.Replied, c.Status, c.Wait, c.Spoilt = at, planned.Status, planned.requestedWait, planned.malformed
+			c.Delivered, c.Unfinished = planned.Status == 200, planned.slow
 		})
 	}
-	if !f.slow {
-		note()
-		c.noteAnswered(call, f.Status)
-		_, err := io.WriteString(c, f.Raw)
+	if !planned.slow {
+		recordWritten()
+		c.recordResponse(call, planned.Status)
+		_, err := io.WriteString(c, planned.Raw)
 		if err != nil {
-			stage.Record.Change(call, func(c *audit.Call) { c.Delivered, c.Status = false, 0 })
+			env.Record.Update(call, func(c *audit.Call) { c.Delivered, c.Status = false, 0 })
 		}
 		return err == nil
 	}
-	line := 0
-	for line < len(f.Raw) && f.Raw[line] != '\n' {
-		line++
+	lineEnd := 0
+	for lineEnd < len(planned.Raw) && planned.Raw[lineEnd] != '\n' {
+		lineEnd++
 	}
-	for i := range len(f.Raw) {
-		if i == line {
-			note()
+	for i := range len(planned.Raw) {
+		if i == lineEnd {
+			recordWritten()
 		}
-		if _, err := c.Write([]byte{f.Raw[i]}); err != nil {
+		if _, err := c.Write([]byte{planned.Raw[i]}); err != nil {
 			return false
 		}
 		select {
 		case <-time.After(time.Second):
-		case <-c.watch():
+		case <-c.watchPeer():
 			return false
-		case <-stage.done:
+		case <-env.done:
 			return false
 		}
 	}
-	stage.Record.Change(call, func(c *audit.Call) { c.Unfinished = false })
+	env.Record.Update(call, func(c *audit.Call) { c.Unfinished = false })
 	return true
 }
