--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,7 @@
-// Package scenario holds what is played against senders: their settings, destinations, traffic and a script of
-// faults, read from TOML files. From a scenario and its seed follow, without any clock, all destinations, the arrival
-// of every notice and whom each fault strikes: the same for stand-ins on sockets and in simulated time.
+// Package scenario defines the test scenarios that are run against senders: the senders' settings, the destinations,
+// the traffic and a script of faults, read from TOML files. A scenario and its seed determine all destinations, the
+// arrival of every notice and what each fault affects. No clock is involved, so that runs on sockets and in simulated
+// time use the same instance.
 package scenario
 
 import (
@@ -18,48 +19,49 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// The kinds of fault.
+// The kinds of fault. A fault acts from its start to its end; its share says how many of the calls it affects.
 const (
-	Refuse      = "refuse"       // connections are refused, open ones reset
-	Shut        = "shut"         // all calls are turned away
-	Hang        = "hang"         // calls are taken and never answered
-	Silent      = "silent"       // nothing is said on any connection, new ones never come up
-	NeverUp     = "never-up"     // new connections never come up
-	ResetBefore = "reset-before" // the connection is reset before the call was read
-	ResetAfter  = "reset-after"  // the connection is reset after the call was read
-	Errors      = "errors"       // calls fail at once
-	Spoilt      = "spoilt"       // answers that can't be used
+	Refuse      = "refuse"       // new connections are refused and open ones are reset
+	Shut        = "shut"         // all calls are refused with status 503
+	Hang        = "hang"         // calls are read and never answered
+	Silent      = "silent"       // no data is sent on any connection, and new connections are never established
+	NeverUp     = "never-up"     // new connections are never established
+	ResetBefore = "reset-before" // the connection is reset before the call is read
+	ResetAfter  = "reset-after"  // the connection is reset after the call is read
+	Errors      = "errors"       // calls fail immediately with status 500
+	Spoilt      = "spoilt"       // responses are malformed
 	Slow        = "slow"         // calls take longer
-	Dribble     = "dribble"      // answers come a byte a second
-	Pauses      = "pauses"       // nothing moves for a while, again and again
-	LowLimit    = "low-limit"    // the limit is lowered
-	Flap        = "flap"         // refuses connections, again and again
-	Drain       = "drain"        // receivers drain, others take their place, then they are gone
-	Vanish      = "vanish"       // receivers are gone from the list and from the network, until the end
-	ListSilent  = "list-silent"  // the platform says nothing
-	ListGarbage = "list-garbage" // the platform tells lists that can't be read
-	EndsRefused = "ends-refused" // the platform takes no notices of ends
-	Kill        = "kill"         // senders are killed, and start again at the end
-	Stop        = "stop"         // senders are told to leave, and start again once they have, not before the end
-	Freeze      = "freeze"       // senders stand still
-	FewFiles    = "few-files"    // senders may open only a few descriptors more
-	Reload      = "reload"       // senders are told to read a configuration that is garbage, and at the end a good one
-	Hostile     = "hostile"      // bad clients beside the usual ones
-	Burst       = "burst"        // more notices than usual
+	Dribble     = "dribble"      // responses are sent at one byte a second
+	Pauses      = "pauses"       // periodically, nothing is read or sent for half of each period
+	LowLimit    = "low-limit"    // the call limit is lowered
+	Flap        = "flap"         // periodically, connections are refused for half of each period
+	Drain       = "drain"        // receivers drain and others replace them; at the end the drained ones are removed
+	Vanish      = "vanish"       // receivers are missing from the receiver list and unreachable until the end
+	ListSilent  = "list-silent"  // the platform does not respond
+	ListGarbage = "list-garbage" // the platform serves malformed receiver lists
+	EndsRefused = "ends-refused" // the platform refuses outcome reports
+	Kill        = "kill"         // senders are killed and restart at the end
+	Stop        = "stop"         // senders are asked to shut down; each restarts after its exit, at the end or later
+	Freeze      = "freeze"       // senders are paused
+	FewFiles    = "few-files"    // senders may open only a few more file descriptors
+	Reload      = "reload"       // senders reload a malformed configuration, and at the end a valid one
+	Hostile     = "hostile"      // misbehaving clients connect in addition to the normal ones
+	Burst       = "burst"        // the notice rate is multiplied
 )
 
-// Struck says whom a kind of fault strikes.
-type Struck int
+// FaultTarget is the part of the environment that a kind of fault affects.
+type FaultTarget int
 
-// Whom faults strike.
+// The targets of faults.
 const (
-	Destinations Struck = iota
+	Destinations FaultTarget = iota
 	Platforms
 	Senders
 	Clients
 )
 
-func kindNames() []string {
+// faultKindNames returns the names of all kinds of fault in alphabetical order, on which Mix's random choice depends.
+func faultKindNames() []string {
 	var names []string
 	for name := range faultKinds {
 		names = append(names, name)
@@ -68,7 +70,7 @@
 	return names
 }
 
-// Scenario is one scenario.
+// Scenario is one test scenario as read from its file. Shares are relative to the sum of all shares.
 type Scenario struct {
 	Name, About     string
 	Seed            uint64
@@ -81,79 +83,80 @@
 	Traffic         Traffic
 	ListDelay       rules.Millis
 	Senders         int
-	FrontNotice     rules.Millis // how long clients go on choosing a dead sender
+	FrontNotice     rules.Millis // how long clients keep choosing a sender that has died
 	Groups          []Group
 	Faults          []Fault
-	Trace           []Arrival // recorded traffic, in place of drawn
+	Trace           []Arrival // recorded traffic that replaces the generated traffic
 }
 
-// Traffic is what clients hand in.
+// Traffic describes the notices that clients submit. Clumps are batches of notices for one destination; Again is the
+// share of the dismissed notices that are submitted again, and Patience the client's timeout for the first response.
 type Traffic struct {
-	Rate      float64 // notices a second
-	Shape     string
-	Zipf      float64
-	Clumps    float64
-	Clump     int
-	ClumpSpan rules.Millis
-	Body      int
-	Keys      int
-	Again     float64
-	Patience  rules.Millis
-	First     First
+	Rate          float64 // notices a second
+	Shape         string
+	Zipf          float64
+	ClumpShare    float64
+	ClumpSize     int
+	ClumpDuration rules.Millis
+	BodySize      int
+	KeyCount      int
+	Again         float64
+	Patience      rules.Millis
+	First         FirstNotices
 }
 
-// First is notices that come before all others for the destinations of a group.
-type First struct {
+// FirstNotices are notices for the destinations of one group that arrive from the start in addition to all others.
+type FirstNotices struct {
 	Count        int
 	Group, Grade string
-	Span         rules.Millis
+	Duration     rules.Millis
 }
 
-// Group is destinations that are alike.
+// Group is a set of destinations with the same properties.
 type Group struct {
 	Name                    string
 	Destinations, Receivers int
 	Kind                    string
 	Weight                  float64
-	Shape                   Shape
+	Shape                   DestinationProfile
 }
 
-// Shape is what a destination is like.
-type Shape struct {
-	Cores, Queue  int
-	Service       string
-	Mean          rules.Millis
-	CV            float64
-	Limit         float64 // calls a second; 0: none
-	LimitSpan     rules.Millis
-	LimitDepth    rules.Millis
-	CountsRefused bool
-	Reports       bool
-	TellsWait     float64
-	Wait          rules.Millis
-	Connections   int
-	Tips          bool
+// DestinationProfile describes the capacity and the behaviour of a destination.
+type DestinationProfile struct {
+	Cores, Queue      int
+	Service           string
+	Mean              rules.Millis
+	CV                float64
+	Limit             float64 // calls a second; 0: no limit
+	LimitWindow       rules.Millis
+	LimitDepth        rules.Millis
+	CountsRefused     bool
+	ReportsLimit      bool
+	RetryAfterShare   float64
+	RetryAfter        rules.Millis
+	Connections       int
+	OverloadsWhenCold bool
 }
 
-// Fault is one trouble.
+// Fault is one scripted fault: its kind, its time, what it affects and how strongly.
 type Fault struct {
 	Kind        string
 	At, For     rules.Millis
 	Part        float64
 	Group       string
 	Busiest     bool
-	Grade       string // empty: all
+	Grade       string // empty: all grades
 	Share, Size float64
 	Each        rules.Millis
 }
 
-// Strikes says whom.
-func (f Fault) Strikes() Struck { return faultKinds[f.Kind] }
+// Strikes returns the target of the fault.
+func (f Fault) Strikes() FaultTarget { return faultKinds[f.Kind] }
 
-// Until is its end.
+// Until returns the time at which the fault ends.
 func (f Fault) Until() rules.Millis { return f.At + f.For }
 
-// Active tells whether it acts at a time; those that come again and again act in the first half of each turn.
+// Active reports whether the fault acts at a time. Periodic faults act in the first half of each period.
 func (f Fault) Active(at rules.Millis) bool {
 	if at < f.At || at >= f.Until() {
 		return false
@@ -161,14 +164,14 @@
 	if f.Kind != Flap && f.Kind != Pauses {
 		return true
 	}
-	return f.halves(at)%2 == 0
+	return f.halfPeriods(at)%2 == 0
 }
 
-// halves is how many halves of a turn are over. A time that was reckoned from a number of halves gives that number back,
-// however it was rounded.
-func (f Fault) halves(at rules.Millis) int64 { return int64((at-f.At)/(f.Each/2) + 1e-6) }
+// halfPeriods returns how many half periods are over. The added 1e-6 makes sure that a time which was computed from a
+// number of half periods yields that same number in spite of rounding.
+func (f Fault) halfPeriods(at rules.Millis) int64 { return int64((at-f.At)/(f.Each/2) + 1e-6) }
 
-// Next is the next time after at when it begins or ceases to act, or -1.
+// Next returns the first time after at when the fault starts or stops acting, or -1 if there is none.
 func (f Fault) Next(at rules.Millis) rules.Millis {
 	switch {
 	case at < f.At:
@@ -178,28 +181,28 @@
 	case f.Kind != Flap && f.Kind != Pauses:
 		return f.Until()
 	}
-	return min(f.At+rules.Millis(f.halves(at)+1)*f.Each/2, f.Until())
+	return min(f.At+rules.Millis(f.halfPeriods(at)+1)*f.Each/2, f.Until())
 }
 
 //go:embed builtin/*.toml
-var builtin embed.FS
+var builtinFiles embed.FS
 
-// Builtin names the scenarios that come with the program.
+// Builtin returns the names of the scenarios that are built into the program.
 func Builtin() []string {
-	entries, _ := fs.ReadDir(builtin, "builtin")
+	entries, _ := fs.ReadDir(builtinFiles, "builtin")
 	var names []string
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
 	}
-	return append(append(names, SickSet()...), HourSet()...)
+	return append(append(names, SickSet()...), ValidationSet()...)
 }
 
-// Text is a scenario's file: one that comes with the program by its name, any other by its path.
+// Text returns the text of a scenario: of a built-in one by its name, of any other by the path of its file.
 func Text(name string) ([]byte, error) {
-	if text, ok := ofSet(name); ok {
+	if text, ok := setScenarioText(name); ok {
 		return []byte(text), nil
 	}
-	if text, err := builtin.ReadFile("builtin/" + name + ".toml"); err == nil {
+	if text, err := builtinFiles.ReadFile("builtin/" + name + ".toml"); err == nil {
 		return text, nil
 	}
 	text, err := os.ReadFile(name)
@@ -209,7 +212,7 @@
 	return text, nil
 }
 
-// Load reads a scenario.
+// Load reads a scenario by its name or path. The error lists all faults of the file.
 func Load(name string) (*Scenario, error) {
 	text, err := Text(name)
 	if err != nil {
@@ -219,77 +222,90 @@
 	return s, faults.Or()
 }
 
-// Read reads a scenario's text.
+// Read parses the text of a scenario and returns all that is wrong with it; name stands in the messages.
 func Read(name string, text []byte) (*Scenario, conf.Faults) {
-	f, _ := conf.Read(name, text, Table)
-	top, machine, traffic := f.One(""), f.One("machine"), f.One("traffic")
-	span := func(b *conf.Block, key string) rules.Millis { return rules.Millis(b.Number(key)) }
+	file, _ := conf.Read(name, text, Table)
+	top, machine, traffic := file.One(""), file.One("machine"), file.One("traffic")
+	duration := func(block *conf.Block, key string) rules.Millis { return rules.Millis(block.Number(key)) }
 	s := &Scenario{Name: top.Text("name"), About: top.Text("about"), Seed: uint64(top.Number("seed")),
-		Length: span(top, "length"), Settle: span(top, "settle"),
+		Length: duration(top, "length"), Settle: duration(top, "settle"),
 		Machine: limits.Machine{MemoryMB: int(machine.Number("memory") / (1 << 20)), Sockets: machine.Int("sockets"),
 			DiskMB: machine.Number("disk") / 1e6, Cores: machine.Number("cores")},
 		Traffic: Traffic{Rate: traffic.Number("rate"), Shape: traffic.Text("shape"), Zipf: traffic.Number("zipf"),
-			Clumps: traffic.Number("clumps"), Clump: traffic.Int("clump"), ClumpSpan: span(traffic, "clump_span"),
-			Body: traffic.Int("body"), Keys: traffic.Int("keys"), Again: traffic.Number("again"), Patience: span(traffic, "patience"),
-			First: First{Count: traffic.Int("first"), Group: traffic.Text("first_group"), Grade: traffic.Text("first_grade"),
-				Span: span(traffic, "first_span")}},
-		ListDelay: span(f.One("platform"), "delay"), Senders: f.One("senders").Int("count"), FrontNotice: span(f.One("senders"), "notice")}
-	s.Settings, s.Names = config.Read(f)
+			ClumpShare: traffic.Number("clumps"), ClumpSize: traffic.Int("clump"),
+			ClumpDuration: duration(traffic, "clump_span"), BodySize: traffic.Int("body"),
+			KeyCount: traffic.Int("keys"), Again: traffic.Number("again"), Patience: duration(traffic, "patience"),
+			First: FirstNotices{Count: traffic.Int("first"), Group: traffic.Text("first_group"),
+				Grade: traffic.Text("first_grade"), Duration: duration(traffic, "first_span")}},
+		ListDelay: duration(file.One("platform"), "delay"), Senders: file.One("senders").Int("count"),
+		FrontNotice: duration(file.One("senders"), "notice")}
+	s.Settings, s.Names = config.Read(file)
 	s.Settings.Senders = s.Senders
-	for _, b := range f.All("grade") {
-		s.GradeShares = append(s.GradeShares, b.Number("share"))
+	for _, block := range file.All("grade") {
+		s.GradeShares = append(s.GradeShares, block.Number("share"))
 	}
-	for _, b := range f.All("portfolio") {
-		s.PortfolioShares = append(s.PortfolioShares, b.Number("share"))
+	for _, block := range file.All("portfolio") {
+		s.PortfolioShares = append(s.PortfolioShares, block.Number("share"))
 	}
 	groups := map[string]bool{}
-	for _, b := range f.All("gateway") {
-		g := Group{Name: b.Text("name"), Destinations: b.Int("destinations"), Receivers: b.Int("receivers"), Kind: b.Text("kind"),
-			Weight: b.Number("weight"), Shape: Shape{Cores: b.Int("cores"), Queue: b.Int("queue"), Service: b.Text("service"),
-				Mean: span(b, "mean"), CV: b.Number("cv"), Limit: b.Number("limit"), LimitSpan: span(b, "limit_span"),
-				LimitDepth: span(b, "limit_depth"), CountsRefused: b.Flag("counts_refused"), Reports: b.Flag("reports"),
-				TellsWait: b.Number("tells_wait"), Wait: span(b, "wait"), Connections: b.Int("connections"), Tips: b.Flag("tips")}}
-		if groups[g.Name] {
-			f.Wrong(b, "name", fmt.Sprintf("%q stands twice", g.Name), "a name of its own")
+	for _, block := range file.All("gateway") {
+		group := Group{Name: block.Text("name"), Destinations: block.Int("destinations"),
+			Receivers: block.Int("receivers"), Kind: block.Text("kind"), Weight: block.Number("weight"),
+			Shape: DestinationProfile{Cores: block.Int("cores"), Queue: block.Int("queue"),
+				Service: block.Text("service"), Mean: duration(block, "mean"), CV: block.Number("cv"),
+				Limit: block.Number("limit"), LimitWindow: duration(block, "limit_span"),
+				LimitDepth: duration(block, "limit_depth"), CountsRefused: block.Flag("counts_refused"),
+				ReportsLimit: block.Flag("reports"), RetryAfterShare: block.Number("tells_wait"),
+				RetryAfter: duration(block, "wait"), Connections: block.Int("connections"),
+				OverloadsWhenCold: block.Flag("tips")}}
+		if groups[group.Name] {
+			file.Wrong(block, "name", fmt.Sprintf("%q stands twice", group.Name), "a name of its own")
 		}
-		if g.Kind != "" && !slices.Contains(s.Names.Kinds, g.Kind) {
-			f.Wrong(b, "kind", fmt.Sprintf("no [[kind]] has the name %q", g.Kind), "one that has")
+		if group.Kind != "" && !slices.Contains(s.Names.Kinds, group.Kind) {
+			file.Wrong(block, "kind", fmt.Sprintf("no [[kind]] has the name %q", group.Kind), "the name of a [[kind]]")
 		}
-		if g.Shape.LimitSpan > 0 && g.Shape.Limit == 0 {
-			f.Wrong(b, "limit_span", "there is no limit", "a limit, or no limit_span")
+		if group.Shape.LimitWindow > 0 && group.Shape.Limit == 0 {
+			file.Wrong(block, "limit_span", "the gateway has no limit", "a limit, or no limit_span")
 		}
-		groups[g.Name] = true
-		s.Groups = append(s.Groups, g)
+		groups[group.Name] = true
+		s.Groups = append(s.Groups, group)
 	}
 	if first := s.Traffic.First; first.Count > 0 {
 		if !groups[first.Group] {
-			f.Wrong(traffic, "first_group", fmt.Sprintf("no [[gateway]] has the name %q", first.Group), "one that has")
+			file.Wrong(traffic, "first_group", fmt.Sprintf("no [[gateway]] has the name %q", first.Group),
+				"the name of a [[gateway]]")
 		}
 		if !slices.Contains(s.Names.Grades, first.Grade) {
-			f.Wrong(traffic, "first_grade", fmt.Sprintf("no [[grade]] has the name %q", first.Grade), "one of "+strings.Join(s.Names.Grades, ", "))
+			file.Wrong(traffic, "first_grade", fmt.Sprintf("no [[grade]] has the name %q", first.Grade),
+				"one of "+strings.Join(s.Names.Grades, ", "))
 		}
 	}
 	if path := traffic.Text("trace"); path != "" {
 		if err := s.readTrace(name, path); err != nil {
-			f.Wrong(traffic, "trace", err.Error(), "a file that lab trace wrote")
+			file.Wrong(traffic, "trace", err.Error(), "a file written by lab trace")
 		}
 	}
-	for _, b := range f.All("fault") {
-		x := Fault{Kind: b.Text("kind"), At: span(b, "at"), For: span(b, "for"), Part: b.Number("part"), Group: b.Text("group"),
-			Busiest: b.Flag("busiest"), Grade: b.Text("grade"), Share: b.Number("share"), Size: b.Number("size"), Each: span(b, "each")}
-		if x.Group != "" && !groups[x.Group] {
-			f.Wrong(b, "group", fmt.Sprintf("no [[gateway]] has the name %q", x.Group), "one that has")
+	for _, block := range file.All("fault") {
+		fault := Fault{Kind: block.Text("kind"), At: duration(block, "at"), For: duration(block, "for"),
+			Part: block.Number("part"), Group: block.Text("group"), Busiest: block.Flag("busiest"),
+			Grade: block.Text("grade"), Share: block.Number("share"), Size: block.Number("size"),
+			Each: duration(block, "each")}
+		if fault.Group != "" && !groups[fault.Group] {
+			file.Wrong(block, "group", fmt.Sprintf("no [[gateway]] has the name %q", fault.Group),
+				"the name of a [[gateway]]")
 		}
-		if x.Grade != "" && !slices.Contains(s.Names.Grades, x.Grade) {
-			f.Wrong(b, "grade", fmt.Sprintf("no [[grade]] has the name %q", x.Grade), "one of "+strings.Join(s.Names.Grades, ", "))
+		if fault.Grade != "" && !slices.Contains(s.Names.Grades, fault.Grade) {
+			file.Wrong(block, "grade", fmt.Sprintf("no [[grade]] has the name %q", fault.Grade),
+				"one of "+strings.Join(s.Names.Grades, ", "))
 		}
-		if x.Strikes() != Destinations && (x.Group != "" || x.Grade != "") {
-			f.Wrong(b, "kind", x.Kind+" strikes no destinations", "no group and no grade")
+		if fault.Strikes() != Destinations && (fault.Group != "" || fault.Grade != "") {
+			file.Wrong(block, "kind", fault.Kind+" does not affect destinations", "no group and no grade")
 		}
-		if x.At >= s.Length {
-			f.Wrong(b, "at", "is behind the last notice", "before "+conf.Show(conf.Span, float64(s.Length)))
+		if fault.At >= s.Length {
+			file.Wrong(block, "at", "is not before the end of the traffic",
+				"before "+conf.Show(conf.Span, float64(s.Length)))
 		}
-		s.Faults = append(s.Faults, x)
+		s.Faults = append(s.Faults, fault)
 	}
-	return s, f.Faults()
+	return s, file.Faults()
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -12,6 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// Every built-in scenario loads without faults, and the error for an unknown name lists them.
 func TestBuiltin(t *testing.T) {
 	for _, name := range Builtin() {
 		if s, err := Load(name); err != nil || s.Name != name || s.About == "" {
@@ -23,7 +24,7 @@
 	}
 }
 
-const small = `
+const smallScenario = `
 name = "small"
 length = "20s"
 [traffic]
@@ -63,10 +64,10 @@
 part = 0.5
 `
 
-// The same seed gives the same world, whatever is read of it; another gives another.
+// The same seed yields the same instance and arrivals; another seed yields others.
 func TestWorldFollowsFromSeed(t *testing.T) {
 	show := func(seed uint64) string {
-		s, faults := Read("small", []byte(small))
+		s, faults := Read("small", []byte(smallScenario))
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
@@ -90,17 +91,18 @@
 		t.Error(diff)
 	}
 	if show(1) == show(2) {
-		t.Error("two seeds give one world")
+		t.Error("seeds 1 and 2 yield the same instance")
 	}
 }
 
+// The number, order, grades, destinations and distribution over time of the arrivals fit each traffic shape.
 func TestArrivals(t *testing.T) {
 	for _, shape := range []string{"steady", "ramp", "peak"} {
-		s, _ := Read("small", []byte(small))
+		s, _ := Read("small", []byte(smallScenario))
 		s.Traffic.Shape = shape
 		w := Lay(s)
 		count, grades, thirds, last := 0, [2]int{}, [3]int{}, rules.Millis(0)
-		to := map[int]int{}
+		destinations := map[int]int{}
 		for arrivals := w.Arrivals(); ; count++ {
 			a, ok := arrivals.Next()
 			if !ok {
@@ -111,11 +113,12 @@
 			}
 			last = a.At
 			grades[a.Grade]++
-			to[a.Destination]++
+			destinations[a.Destination]++
 			thirds[min(int(a.At/w.Length*3), 2)]++
 		}
-		if math.Abs(float64(count)-4000) > 400 || math.Abs(float64(grades[0])/float64(count)-0.75) > 0.05 || len(to) != 10 {
-			t.Errorf("%s: %d notices, grades %v, to %v", shape, count, grades, to)
+		if math.Abs(float64(count)-4000) > 400 || math.Abs(float64(grades[0])/float64(count)-0.75) > 0.05 ||
+			len(destinations) != 10 {
+			t.Errorf("%s: %d notices, grades %v, to %v", shape, count, grades, destinations)
 		}
 		if shape == "ramp" && thirds[2] < 3*thirds[0] || shape == "peak" && thirds[1] < 2*thirds[0] {
 			t.Errorf("%s: thirds %v", shape, thirds)
@@ -123,31 +126,34 @@
 	}
 }
 
+// A periodic fault acts in the first half of each period.
 func TestFaultTimes(t *testing.T) {
 	f := Fault{Kind: Flap, At: 1000, For: 2500, Each: 1000}
 	var b strings.Builder
 	for at := rules.Millis(0); at >= 0; at = f.Next(at) {
 		fmt.Fprintf(&b, "%v %v\n", at, f.Active(at))
 	}
-	if diff := cmp.Diff("0 false\n1000 true\n1500 false\n2000 true\n2500 false\n3000 true\n3500 false\n", b.String()); diff != "" {
+	if diff := cmp.Diff("0 false\n1000 true\n1500 false\n2000 true\n2500 false\n3000 true\n3500 false\n",
+		b.String()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// However odd the spans, time goes on: a script that stands still would spin.
-func TestFaultTimesGoOn(t *testing.T) {
-	draw := Chance(1, 1)
+// Next always returns a later time, whatever the fault's times and period are. If it returned the same time, rounding
+// would make a script loop forever.
+func TestFaultTimesAdvance(t *testing.T) {
+	rng := Chance(1, 1)
 	for range 10_000 {
-		f := Fault{Kind: Pauses, At: rules.Millis(5000 * draw.Float64()), For: rules.Millis(4000 * draw.Float64()),
-			Each: 200 + rules.Millis(600*draw.Float64())}
+		f := Fault{Kind: Pauses, At: rules.Millis(5000 * rng.Float64()), For: rules.Millis(4000 * rng.Float64()),
+			Each: 200 + rules.Millis(600*rng.Float64())}
 		active := false
 		for at := f.At; at >= 0; {
 			next := f.Next(at)
 			if next >= 0 && next <= at {
-				t.Fatalf("%+v: %v follows %v", f, next, at)
+				t.Fatalf("%+v: next time %v is not after %v", f, next, at)
 			}
 			if now := f.Active(at); now == active && next >= 0 {
-				t.Fatalf("%+v: no change at %v", f, at)
+				t.Fatalf("%+v: Active does not change at %v", f, at)
 			} else {
 				active = now
 			}
@@ -156,20 +162,21 @@
 	}
 }
 
-// A scenario that contradicts itself is told with its lines.
-func TestTellsFaults(t *testing.T) {
+// The contradictions of a scenario are reported with their lines.
+func TestReadReportsContradictions(t *testing.T) {
 	bad := strings.NewReplacer(`kind = "kill"`, "kind = \"kill\"\ngroup = \"g\"", `at = "1s"
 part = 0.3`, `at = "30s"
-grade = "c"`).Replace(small)
+grade = "c"`).Replace(smallScenario)
 	_, faults := Read("small", []byte(bad))
-	want := `small:28: fault.at: is behind the last notice; right would be before 20s
+	want := `small:28: fault.at: is not before the end of the traffic; right would be before 20s
 small:29: fault.grade: no [[grade]] has the name "c"; right would be one of a, b
-small:36: fault.kind: kill strikes no destinations; right would be no group and no grade`
+small:36: fault.kind: kill does not affect destinations; right would be no group and no grade`
 	if diff := cmp.Diff(want, faults.Error()); diff != "" {
 		t.Error(diff)
 	}
 }
 
+// The tables of keys in docs/scenarios.md are generated from Table.
 func TestPage(t *testing.T) {
 	const path = "../../docs/scenarios.md"
 	text, err := os.ReadFile(path)
@@ -179,7 +186,7 @@
 	const mark = "<!-- made by UPDATE=1 go test ./internal/scenario -->\n"
 	head, _, found := strings.Cut(string(text), mark)
 	if !found {
-		t.Fatal("no place for the table")
+		t.Fatal("docs/scenarios.md has no place for the table")
 	}
 	want := head + mark + "\n" + Table.Page()
 	if os.Getenv("UPDATE") != "" {
@@ -191,11 +198,11 @@
 	}
 }
 
-// Recorded traffic plays as it was, and what is wrong in its file is told with its line.
+// Recorded traffic is replayed as it was written, and faults of its file are reported with their lines.
 func TestTrace(t *testing.T) {
-	folder := t.TempDir()
+	dir := t.TempDir()
 	write := func(name, text string) string {
-		path := filepath.Join(folder, name)
+		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -207,7 +214,7 @@
 		t.Fatal(err)
 	}
 	write("t.csv", text.String())
-	path := write("s.toml", strings.Replace(small, "zipf = 1", "trace = \"t.csv\"", 1))
+	path := write("s.toml", strings.Replace(smallScenario, "zipf = 1", "trace = \"t.csv\"", 1))
 	s, err := Load(path)
 	if err != nil {
 		t.Fatal(err)
@@ -217,13 +224,16 @@
 	for a, ok := arrivals.Next(); ok; a, ok = arrivals.Next() {
 		got = append(got, a)
 	}
-	if diff := cmp.Diff([]Arrival{{At: 0, Destination: 3, Grade: 0, Body: 10}, {At: 2.5, Destination: 1, Grade: 1, Key: 4}}, got); diff != "" {
+	if diff := cmp.Diff([]Arrival{{At: 0, Destination: 3, Grade: 0, Body: 10},
+		{At: 2.5, Destination: 1, Grade: 1, Key: 4}}, got); diff != "" {
 		t.Error(diff)
 	}
-	for line, want := range map[string]string{"x,1,a,,0,0": "at_ms", "0,11,a,,0,0": "from 1 to 10", "0,1,c,,0,0": "[a b]", "0,1,a,p,0,0": "portfolio",
+	for line, want := range map[string]string{"x,1,a,,0,0": "at_ms", "0,11,a,,0,0": "from 1 to 10", "0,1,c,,0,0": "[a b]",
+		"0,1,a,p,0,0": "portfolio",
 		"0,1,a,,-1,0": "key", "0,1,a,,0,99999": "65536", "0,1,a": "fields"} {
-		write("t.csv", strings.Join(traceHead, ",")+"\n0,1,a,,0,0\n"+line+"\n")
-		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "3") {
+		write("t.csv", strings.Join(traceHeader, ",")+"\n0,1,a,,0,0\n"+line+"\n")
+		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), want) ||
+			!strings.Contains(err.Error(), "3") {
 			t.Errorf("%s: %v", line, err)
 		}
 	}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -12,40 +12,40 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Destination is one destination of a world, with the faults that strike it.
+// Destination is one destination of a scenario's instance, with the faults that affect it.
 type Destination struct {
 	Number    int
 	Group     *Group
 	Weight    float64
-	Receivers []string // ids at the start
+	Receivers []string // ids of the receivers at the start
 	Faults    []Fault
 }
 
-// World is what follows from a scenario and its seed.
+// World is the instance of a scenario: everything that the scenario and its seed determine.
 type World struct {
 	*Scenario
-	Destinations []*Destination
-	Struck       map[int][]int // senders that each fault of senders strikes, by the fault's place in Faults
-	cumulated    []float64     // weights of the destinations
-	grades       []float64
-	portfolios   []float64
+	Destinations         []*Destination
+	Struck               map[int][]int // affected senders of each sender fault, by the fault's index in Faults
+	cumulativeWeights    []float64     // of the destinations
+	cumulativeGrades     []float64
+	cumulativePortfolios []float64
 }
 
-// The streams of chance, each with a generator of its own: what one draws doesn't change what another does.
+// The random streams. Each has its own generator, so that the draws of one stream do not change those of another.
 const (
-	streamWorld = iota + 1
+	streamLayout = iota + 1
 	streamArrivals
 	streamClumps
-	// StreamGateways is the first of the destinations' streams; the number of the destination is added.
+	// StreamGateways is the base of the destinations' streams; the number of the destination is added to it.
 	StreamGateways = 1 << 20
 )
 
-// Chance is a generator for one stream of a seed.
+// Chance returns a random generator for one stream of a seed.
 func Chance(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// Lay lays out the world of a scenario.
+// Lay creates the instance of a scenario.
 func Lay(s *Scenario) *World {
-	w, draw := &World{Scenario: s, Struck: map[int][]int{}}, Chance(s.Seed, streamWorld)
+	w, rng := &World{Scenario: s, Struck: map[int][]int{}}, Chance(s.Seed, streamLayout)
 	for i := range s.Groups {
 		g := &s.Groups[i]
 		for range g.Destinations {
@@ -56,200 +56,211 @@
 			w.Destinations = append(w.Destinations, d)
 		}
 	}
-	ranks := draw.Perm(len(w.Destinations))
+	ranks := rng.Perm(len(w.Destinations))
 	for i, d := range w.Destinations {
 		d.Weight = d.Group.Weight / math.Pow(float64(ranks[i]+1), s.Traffic.Zipf)
 	}
 	for i, f := range s.Faults {
 		switch f.Strikes() {
 		case Destinations:
-			var able []*Destination
+			var eligible []*Destination
 			for _, d := range w.Destinations {
 				if f.Group == "" || d.Group.Name == f.Group {
-					able = append(able, d)
+					eligible = append(eligible, d)
 				}
 			}
-			draw.Shuffle(len(able), func(i, j int) { able[i], able[j] = able[j], able[i] })
+			rng.Shuffle(len(eligible), func(i, j int) { eligible[i], eligible[j] = eligible[j], eligible[i] })
 			if f.Busiest {
-				slices.SortStableFunc(able, func(a, b *Destination) int { return cmp.Compare(b.Weight, a.Weight) })
+				slices.SortStableFunc(eligible, func(a, b *Destination) int { return cmp.Compare(b.Weight, a.Weight) })
 			}
-			for _, d := range able[:part(f.Part, len(able))] {
+			for _, d := range eligible[:shareOf(f.Part, len(eligible))] {
 				d.Faults = append(d.Faults, f)
 			}
 		case Senders:
-			w.Struck[i] = draw.Perm(s.Senders)[:part(f.Part, s.Senders)]
+			w.Struck[i] = rng.Perm(s.Senders)[:shareOf(f.Part, s.Senders)]
 		}
 	}
 	sum := 0.0
 	for _, d := range w.Destinations {
 		sum += d.Weight
-		w.cumulated = append(w.cumulated, sum)
+		w.cumulativeWeights = append(w.cumulativeWeights, sum)
 	}
-	w.grades, w.portfolios = cumulate(s.GradeShares), cumulate(s.PortfolioShares)
+	w.cumulativeGrades, w.cumulativePortfolios = cumulativeSums(s.GradeShares), cumulativeSums(s.PortfolioShares)
 	return w
 }
 
-func part(share float64, of int) int { return min(max(int(math.Round(share*float64(of))), 1), of) }
+// shareOf returns a share of a count, rounded, but at least 1 where the count allows it.
+func shareOf(share float64, count int) int {
+	return min(max(int(math.Round(share*float64(count))), 1), count)
+}
 
-func cumulate(shares []float64) []float64 {
-	sum, all := 0.0, []float64{}
+// cumulativeSums returns the running sums of the shares.
+func cumulativeSums(shares []float64) []float64 {
+	sum, sums := 0.0, []float64{}
 	for _, s := range shares {
 		sum += s
-		all = append(all, sum)
+		sums = append(sums, sum)
 	}
-	return all
+	return sums
 }
 
-// choose draws a place by cumulated weights.
-func choose(draw *rand.Rand, cumulated []float64) int {
-	if len(cumulated) == 0 {
+// chooseWeighted draws an index with the probabilities that the cumulative weights give.
+func chooseWeighted(rng *rand.Rand, cumulativeWeights []float64) int {
+	if len(cumulativeWeights) == 0 {
 		return 0
 	}
-	x := draw.Float64() * cumulated[len(cumulated)-1]
-	return min(sort.SearchFloat64s(cumulated, x), len(cumulated)-1)
+	x := rng.Float64() * cumulativeWeights[len(cumulativeWeights)-1]
+	return min(sort.SearchFloat64s(cumulativeWeights, x), len(cumulativeWeights)-1)
 }
 
-// Arrival is a notice that a client hands in for the first time.
+// Arrival is a notice that a client submits for the first time.
 type Arrival struct {
 	At                     rules.Millis
-	Destination            int // its number
+	Destination            int // the destination's number
 	Grade, Portfolio, Body int
-	Key                    int // 0: none
+	Key                    int // 0: no key
 }
 
-// Arrivals tells a world's notices one after the other.
+// Arrivals generates the notices of an instance in the order of their times.
 type Arrivals struct {
-	w      *World
-	draw   *rand.Rand
-	clumps *rand.Rand
-	next   rules.Millis // of those that come alone
-	clump  rules.Millis // when the next clump begins
-	later  pending      // notices of clumps that have begun
-	told   int          // of the recorded ones
+	world         *World
+	rng           *rand.Rand
+	clumpRNG      *rand.Rand
+	nextSingle    rules.Millis // time of the next notice that is not part of a clump
+	nextClump     rules.Millis // start of the next clump
+	queued        arrivalHeap  // notices of started clumps, and the first notices
+	tracePosition int          // number of recorded notices that were returned
 }
 
-type pending []Arrival
+// arrivalHeap orders arrivals by time.
+type arrivalHeap []Arrival
 
-func (p pending) Len() int           { return len(p) }
-func (p pending) Less(i, j int) bool { return p[i].At < p[j].At }
-func (p pending) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *pending) Push(x any)        { *p = append(*p, x.(Arrival)) }
-func (p *pending) Pop() any          { a := (*p)[len(*p)-1]; *p = (*p)[:len(*p)-1]; return a }
+func (p arrivalHeap) Len() int           { return len(p) }
+func (p arrivalHeap) Less(i, j int) bool { return p[i].At < p[j].At }
+func (p arrivalHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
+func (p *arrivalHeap) Push(x any)        { *p = append(*p, x.(Arrival)) }
+func (p *arrivalHeap) Pop() any          { a := (*p)[len(*p)-1]; *p = (*p)[:len(*p)-1]; return a }
 
-// Arrivals begins a world's notices.
+// Arrivals returns a generator of the instance's notices, from the first one on.
 func (w *World) Arrivals() *Arrivals {
-	a := &Arrivals{w: w, draw: Chance(w.Seed, streamArrivals), clumps: Chance(w.Seed, streamClumps), clump: rules.Millis(math.Inf(1))}
-	a.next = a.after(0, a.draw, w.Traffic.Rate*(1-w.Traffic.Clumps))
-	a.first()
-	if w.Traffic.Clumps > 0 {
-		a.clump = a.after(0, a.clumps, w.Traffic.Rate*w.Traffic.Clumps/float64(w.Traffic.Clump))
+	a := &Arrivals{world: w, rng: Chance(w.Seed, streamArrivals), clumpRNG: Chance(w.Seed, streamClumps),
+		nextClump: rules.Millis(math.Inf(1))}
+	a.nextSingle = a.nextPoissonTime(0, a.rng, w.Traffic.Rate*(1-w.Traffic.ClumpShare))
+	a.queueFirstNotices()
+	if w.Traffic.ClumpShare > 0 {
+		a.nextClump = a.nextPoissonTime(0, a.clumpRNG, w.Traffic.Rate*w.Traffic.ClumpShare/float64(w.Traffic.ClumpSize))
 	}
 	return a
 }
 
-// first puts the notices that come before all others among those that come later: by heap, as clumps do.
-func (a *Arrivals) first() {
-	first := a.w.Traffic.First
-	var to []int
-	for _, d := range a.w.Destinations {
+// queueFirstNotices puts the first notices into the heap that also orders the notices of clumps.
+func (a *Arrivals) queueFirstNotices() {
+	first := a.world.Traffic.First
+	var destinations []int
+	for _, d := range a.world.Destinations {
 		if d.Group.Name == first.Group {
-			to = append(to, d.Number)
+			destinations = append(destinations, d.Number)
 		}
 	}
-	grade := slices.Index(a.w.Names.Grades, first.Grade)
+	grade := slices.Index(a.world.Names.Grades, first.Grade)
 	for i := range first.Count {
-		a.later = append(a.later, Arrival{At: first.Span * rules.Millis(i) / rules.Millis(first.Count), Destination: to[i%len(to)],
-			Grade: grade, Body: a.w.Traffic.Body})
+		a.queued = append(a.queued, Arrival{At: first.Duration * rules.Millis(i) / rules.Millis(first.Count),
+			Destination: destinations[i%len(destinations)], Grade: grade, Body: a.world.Traffic.BodySize})
 	}
 }
 
-// factor is the rate at a time, against the mean one.
-func (w *World) factor(at rules.Millis) float64 {
-	x, f := float64(at/w.Length), 1.0
+// rateFactor returns the rate at a time, relative to the mean rate.
+func (w *World) rateFactor(at rules.Millis) float64 {
+	progress, factor := float64(at/w.Length), 1.0
 	switch w.Traffic.Shape {
 	case "ramp":
-		f = 2 * x
-	case "peak": // half the rate and a bell on top; its mean over the length is 1
-		f = 0.5 + 1.5*math.Exp(-math.Pow((x-0.5)/0.188, 2))
+		factor = 2 * progress
+	case "peak": // half the rate plus a bell curve; the mean over the length is 1
+		factor = 0.5 + 1.5*math.Exp(-math.Pow((progress-0.5)/0.188, 2))
 	}
 	for _, fault := range w.Faults {
 		if fault.Kind == Burst && fault.Active(at) {
-			f *= fault.Size
+			factor *= fault.Size
 		}
 	}
-	return f
+	return factor
 }
 
-// most is what factor never exceeds.
-func (w *World) most() float64 {
-	most := 2.0
+// maxRateFactor returns an upper bound of rateFactor.
+func (w *World) maxRateFactor() float64 {
+	maximum := 2.0
 	for _, fault := range w.Faults {
 		if fault.Kind == Burst {
-			most *= max(fault.Size, 1)
+			maximum *= max(fault.Size, 1)
 		}
 	}
-	return most
+	return maximum
 }
 
-// after draws the next time of a Poisson process that is thinned to the rate at each time.
-func (a *Arrivals) after(at rules.Millis, draw *rand.Rand, rate float64) rules.Millis {
-	most := a.w.most()
+// nextPoissonTime draws the next time after at of a Poisson process, thinned to the rate factor at each time. Its
+// result is infinite if the traffic ends before.
+func (a *Arrivals) nextPoissonTime(at rules.Millis, rng *rand.Rand, rate float64) rules.Millis {
+	maxFactor := a.world.maxRateFactor()
 	if rate <= 0 {
 		return rules.Millis(math.Inf(1))
 	}
-	for at < a.w.Length {
-		at += rules.Millis(draw.ExpFloat64() / (rate * most) * 1000)
-		if draw.Float64()*most < a.w.factor(at) {
+	for at < a.world.Length {
+		at += rules.Millis(rng.ExpFloat64() / (rate * maxFactor) * 1000)
+		if rng.Float64()*maxFactor < a.world.rateFactor(at) {
 			return at
 		}
 	}
 	return rules.Millis(math.Inf(1))
 }
 
-// Next is the next notice; ok is false behind the last.
+// Next returns the next notice; ok is false after the last one.
 func (a *Arrivals) Next() (arrival Arrival, ok bool) {
-	if trace := a.w.Trace; len(trace) > 0 {
-		if a.told == len(trace) || trace[a.told].At >= a.w.Length {
+	if trace := a.world.Trace; len(trace) > 0 {
+		if a.tracePosition == len(trace) || trace[a.tracePosition].At >= a.world.Length {
 			return Arrival{}, false
 		}
-		a.told++
-		return trace[a.told-1], true
+		a.tracePosition++
+		return trace[a.tracePosition-1], true
 	}
-	t := &a.w.Traffic
-	for a.clump <= a.next && a.clump < a.w.Length && (len(a.later) == 0 || a.clump <= a.later[0].At) {
-		first := a.one(a.clumps, a.clump)
-		for range t.Clump {
-			one := a.one(a.clumps, a.clump+rules.Millis(a.clumps.Float64())*t.ClumpSpan)
-			one.Destination = first.Destination
-			heap.Push(&a.later, one)
+	traffic := &a.world.Traffic
+	for a.nextClump <= a.nextSingle && a.nextClump < a.world.Length &&
+		(len(a.queued) == 0 || a.nextClump <= a.queued[0].At) {
+		first := a.drawArrival(a.clumpRNG, a.nextClump)
+		for range traffic.ClumpSize {
+			member := a.drawArrival(a.clumpRNG, a.nextClump+rules.Millis(a.clumpRNG.Float64())*traffic.ClumpDuration)
+			member.Destination = first.Destination
+			heap.Push(&a.queued, member)
 		}
-		a.clump = a.after(a.clump, a.clumps, t.Rate*t.Clumps/float64(t.Clump))
+		a.nextClump = a.nextPoissonTime(a.nextClump, a.clumpRNG,
+			traffic.Rate*traffic.ClumpShare/float64(traffic.ClumpSize))
 	}
-	if len(a.later) > 0 && a.later[0].At <= a.next {
-		return heap.Pop(&a.later).(Arrival), true
+	if len(a.queued) > 0 && a.queued[0].At <= a.nextSingle {
+		return heap.Pop(&a.queued).(Arrival), true
 	}
-	if a.next >= a.w.Length {
+	if a.nextSingle >= a.world.Length {
 		return Arrival{}, false
 	}
-	arrival = a.one(a.draw, a.next)
-	a.next = a.after(a.next, a.draw, t.Rate*(1-t.Clumps))
+	arrival = a.drawArrival(a.rng, a.nextSingle)
+	a.nextSingle = a.nextPoissonTime(a.nextSingle, a.rng, traffic.Rate*(1-traffic.ClumpShare))
 	return arrival, true
 }
 
-func (a *Arrivals) one(draw *rand.Rand, at rules.Millis) Arrival {
-	w := a.w
-	one := Arrival{At: at, Destination: choose(draw, w.cumulated) + 1, Grade: choose(draw, w.grades),
-		Portfolio: choose(draw, w.portfolios), Body: w.Traffic.Body}
-	if w.Traffic.Keys > 0 && w.Settings.Grades[one.Grade].InOrder {
-		one.Key = 1 + draw.IntN(w.Traffic.Keys)
+// drawArrival draws the destination, grade, portfolio and key of a notice.
+func (a *Arrivals) drawArrival(rng *rand.Rand, at rules.Millis) Arrival {
+	w := a.world
+	arrival := Arrival{At: at, Destination: chooseWeighted(rng, w.cumulativeWeights) + 1,
+		Grade: chooseWeighted(rng, w.cumulativeGrades), Portfolio: chooseWeighted(rng, w.cumulativePortfolios),
+		Body: w.Traffic.BodySize}
+	if w.Traffic.KeyCount > 0 && w.Settings.Grades[arrival.Grade].InOrder {
+		arrival.Key = 1 + rng.IntN(w.Traffic.KeyCount)
 	}
-	return one
+	return arrival
 }
 
-// Worth is the credit that a notice of a grade earns when it is handled so long after its hand-in.
+// Worth returns the credit that a notice of a grade earns if it is handled the given time after its submission.
 func (s *Scenario) Worth(grade int, after rules.Millis) float64 {
 	g := s.Settings.Grades[grade]
-	switch late := float64((after - g.QuotedTime) / max(g.ClientTimeout-g.QuotedTime, 1e-9)); {
+	switch lateness := float64((after - g.QuotedTime) / max(g.ClientTimeout-g.QuotedTime, 1e-9)); {
 	case after >= g.ClientTimeout:
 		return 0
 	case after <= g.QuotedTime:
@@ -257,6 +268,6 @@
 	case s.Settings.HalvesLate:
 		return g.Credit * max(g.LateShare, math.Exp2(-float64((after-g.QuotedTime)/g.QuotedTime)))
 	default:
-		return g.Credit * (1 - (1-g.LateShare)*late)
+		return g.Credit * (1 - (1-g.LateShare)*lateness)
 	}
 }
