--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway holds what a destination does with the calls that reach it: its limit, cores and queue, what it
-// takes while it is cold, and when it falls over. It has no clock and no sockets; the stand-ins on sockets and any
-// model in simulated time run the very same code.
+// Package gateway simulates how a destination processes the calls that reach it: its limit, cores and queue, its
+// reduced capacity while it is cold after an outage, and its failure when it is overloaded then. It has no clock and no
+// sockets; the stand-ins on sockets and the model in simulated time run the same code.
 package gateway
 
 import (
@@ -12,230 +12,241 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Back is what a destination takes when it returns from an outage, by the settings that senders are told.
-type Back struct {
-	ColdFrom   float64
-	Warm, Fall rules.Millis
-	Multiple   float64
+// RecoveryProfile describes the capacity of a destination after an outage. The senders' settings contain the same
+// values. The capacity starts at ColdShare of the full one and grows to all of it within WarmUp. The destination is
+// overloaded by more than OverloadMultiple times its present capacity during OverloadWindow.
+type RecoveryProfile struct {
+	ColdShare              float64
+	WarmUp, OverloadWindow rules.Millis
+	OverloadMultiple       float64
 }
 
-// Verdict is what happens to a call.
-type Verdict struct {
-	Refused bool
-	Wait    rules.Millis // refused: told to wait so long; 0: not told
-	Ends    rules.Millis // else: when its answer is due
-	Down    bool         // it has fallen over: no answer, the call is lost unseen
-	Fell    bool         // by this call
+// Response is the outcome of a call.
+type Response struct {
+	Refused        bool
+	RetryAfter     rules.Millis // of a refused call: the requested wait; 0: none requested
+	DueAt          rules.Millis // of any other call: when its response is due
+	Overloaded     bool         // the destination is overloaded: the call is lost unread, without a response
+	CausedOverload bool         // this call overloaded the destination
 }
 
-// Gateway is one destination. All of its times are on one clock, which never goes back.
+// Gateway is the simulation of one destination. All of its times are on one clock, which never goes back.
 type Gateway struct {
-	shape   scenario.Shape
-	back    Back
-	draw    *rand.Rand
-	service func() float64
-
-	cores   []rules.Millis // when each is free
-	waiting []rules.Millis // when each call that waits begins
-	tokens  float64
-	filled  rules.Millis
-	spanAt  rules.Millis // beginning of the present span
-	spanned int          // calls counted in it
-
-	returned rules.Millis // from the last outage
-	cold     bool
-	down     bool
-	arrivals []arrival // while it is cold
+	profile         scenario.DestinationProfile
+	recovery        RecoveryProfile
+	rng             *rand.Rand
+	drawServiceTime func() float64
+
+	coreFreeAt   []rules.Millis // time at which each core is free
+	queuedStarts []rules.Millis // time at which each queued call starts
+	tokens       float64        // calls that the limit allows now; below 0 where refused calls count
+	filledAt     rules.Millis   // time of the last refill of the tokens
+	windowStart  rules.Millis   // start of the current window of the limit
+	windowCalls  int            // calls counted in that window
+
+	returnedAt   rules.Millis // end of the last outage
+	cold         bool
+	overloaded   bool
+	coldArrivals []arrival // within OverloadWindow, while the destination is cold
 }
 
+// arrival is a call that arrived at a cold destination.
 type arrival struct {
-	at   rules.Millis
-	from int
+	at     rules.Millis
+	sender int
 }
 
-// New makes a gateway. Its chance comes from draw alone.
-func New(shape scenario.Shape, back Back, draw *rand.Rand) *Gateway {
-	g := &Gateway{shape: shape, back: back, draw: draw, cores: make([]rules.Millis, max(shape.Cores, 1))}
-	g.tokens = g.depth(1)
-	mean := float64(shape.Mean)
-	switch shape.Service {
+// New creates a gateway. All of its random draws come from rng.
+func New(profile scenario.DestinationProfile, recovery RecoveryProfile, rng *rand.Rand) *Gateway {
+	g := &Gateway{profile: profile, recovery: recovery, rng: rng,
+		coreFreeAt: make([]rules.Millis, max(profile.Cores, 1))}
+	g.tokens = g.bucketDepth(1)
+	mean := float64(profile.Mean)
+	switch profile.Service {
 	case "exponential":
-		d := distuv.Exponential{Rate: 1 / max(mean, 1e-9), Src: draw}
-		g.service = d.Rand
+		d := distuv.Exponential{Rate: 1 / max(mean, 1e-9), Src: rng}
+		g.drawServiceTime = d.Rand
 	case "lognormal":
-		sigma := math.Sqrt(math.Log(1 + shape.CV*shape.CV))
-		d := distuv.LogNormal{Mu: math.Log(max(mean, 1e-9)) - sigma*sigma/2, Sigma: sigma, Src: draw}
-		g.service = d.Rand
-	case "bimodal": // nine tenths at x, a tenth at 10 x: the mean is 1.9 x
-		g.service = func() float64 {
-			if draw.Float64() < 0.1 {
+		sigma := math.Sqrt(math.Log(1 + profile.CV*profile.CV))
+		d := distuv.LogNormal{Mu: math.Log(max(mean, 1e-9)) - sigma*sigma/2, Sigma: sigma, Src: rng}
+		g.drawServiceTime = d.Rand
+	case "bimodal": // nine tenths of the calls take x, a tenth take 10 x: the mean is 1.9 x
+		g.drawServiceTime = func() float64 {
+			if rng.Float64() < 0.1 {
 				return mean / 1.9 * 10
 			}
 			return mean / 1.9
 		}
-	case "pareto": // alpha 2: the mean is twice the least
-		d := distuv.Pareto{Xm: max(mean, 1e-9) / 2, Alpha: 2, Src: draw}
-		g.service = d.Rand
+	case "pareto": // with alpha 2 the mean is twice the minimum
+		d := distuv.Pareto{Xm: max(mean, 1e-9) / 2, Alpha: 2, Src: rng}
+		g.drawServiceTime = d.Rand
 	default:
-		g.service = func() float64 { return mean }
+		g.drawServiceTime = func() float64 { return mean }
 	}
 	return g
 }
 
-func (g *Gateway) depth(part float64) float64 {
-	return max(g.shape.Limit*part*float64(g.shape.LimitDepth)/1000, 1)
+// bucketDepth returns the size of the limit's token bucket, in calls.
+func (g *Gateway) bucketDepth(limitShare float64) float64 {
+	return max(g.profile.Limit*limitShare*float64(g.profile.LimitDepth)/1000, 1)
 }
 
-// Capacity is how many calls a second it can take when it is warm: its limit, or what its cores can serve.
+// Capacity returns how many calls a second the warm destination can process: the lower of its limit and the rate that
+// its cores can serve.
 func (g *Gateway) Capacity() float64 {
 	capacity := math.Inf(1)
-	if g.shape.Mean > 0 {
-		capacity = float64(len(g.cores)) * 1000 / float64(g.shape.Mean)
+	if g.profile.Mean > 0 {
+		capacity = float64(len(g.coreFreeAt)) * 1000 / float64(g.profile.Mean)
 	}
-	if g.shape.Limit > 0 {
-		capacity = min(capacity, g.shape.Limit)
+	if g.profile.Limit > 0 {
+		capacity = min(capacity, g.profile.Limit)
 	}
 	return capacity
 }
 
-// warmth is the share of its capacity that it has at a time.
-func (g *Gateway) warmth(now rules.Millis) float64 {
+// capacityShare returns the share of the full capacity that the destination has at a time.
+func (g *Gateway) capacityShare(now rules.Millis) float64 {
 	if !g.cold {
 		return 1
 	}
-	x := float64((now - g.returned) / g.back.Warm)
-	if x >= 1 {
-		g.cold, g.arrivals = false, nil
+	warmUpProgress := float64((now - g.returnedAt) / g.recovery.WarmUp)
+	if warmUpProgress >= 1 {
+		g.cold, g.coldArrivals = false, nil
 		return 1
 	}
-	return g.back.ColdFrom + (1-g.back.ColdFrom)*x
+	return g.recovery.ColdShare + (1-g.recovery.ColdShare)*warmUpProgress
 }
 
-// Returned says that an outage has just ended: it is cold, and empty.
-func (g *Gateway) Returned(now rules.Millis) {
-	if !g.shape.Tips || g.down {
+// EndOutage marks the end of an outage: the destination is cold, and its cores and queue are empty. It does nothing to
+// a destination that does not get cold or that is overloaded.
+func (g *Gateway) EndOutage(now rules.Millis) {
+	if !g.profile.OverloadsWhenCold || g.overloaded {
 		return
 	}
-	g.cold, g.returned, g.arrivals = true, now, nil
-	for i := range g.cores {
-		g.cores[i] = 0
+	g.cold, g.returnedAt, g.coldArrivals = true, now, nil
+	for i := range g.coreFreeAt {
+		g.coreFreeAt[i] = 0
 	}
-	g.waiting = nil
+	g.queuedStarts = nil
 }
 
-// Arrive takes a call from a sender. part is the share of its limit that is left to it, 1 in good times; slower is
-// how many times as long it takes.
-func (g *Gateway) Arrive(now rules.Millis, from int, part, slower float64) Verdict {
-	if g.down {
-		return Verdict{Down: true}
+// Arrive processes a call from a sender. limitShare is the factor by which faults reduce the limit, and slowdown the
+// factor by which they lengthen the service time; both are 1 without faults.
+func (g *Gateway) Arrive(now rules.Millis, sender int, limitShare, slowdown float64) Response {
+	if g.overloaded {
+		return Response{Overloaded: true}
 	}
-	warmth := g.warmth(now)
+	capacityShare := g.capacityShare(now)
 	if g.cold {
-		g.arrivals = append(g.arrivals, arrival{now, from})
-		for len(g.arrivals) > 0 && g.arrivals[0].at <= now-g.back.Fall {
-			g.arrivals = g.arrivals[1:]
+		g.coldArrivals = append(g.coldArrivals, arrival{now, sender})
+		for len(g.coldArrivals) > 0 && g.coldArrivals[0].at <= now-g.recovery.OverloadWindow {
+			g.coldArrivals = g.coldArrivals[1:]
 		}
-		// Few calls tell nothing: a budget below three would fall over by chance.
-		budget := g.back.Multiple * g.Capacity() * warmth * float64(g.back.Fall) / 1000
-		if float64(len(g.arrivals)) > max(budget, 3) && now-g.returned >= 0 {
-			g.down = true
-			return Verdict{Down: true, Fell: true}
+		// With a budget below three, a few calls at random times would overload the destination.
+		budget := g.recovery.OverloadMultiple * g.Capacity() * capacityShare * float64(g.recovery.OverloadWindow) / 1000
+		if float64(len(g.coldArrivals)) > max(budget, 3) && now-g.returnedAt >= 0 {
+			g.overloaded = true
+			return Response{Overloaded: true, CausedOverload: true}
 		}
 	}
-	if refused := g.limited(now, part); refused {
+	if refused := g.countAgainstLimit(now, limitShare); refused {
 		return g.refuse(now)
 	}
-	waiting := g.waiting[:0]
-	for _, at := range g.waiting {
+	stillQueued := g.queuedStarts[:0]
+	for _, at := range g.queuedStarts {
 		if at > now {
-			waiting = append(waiting, at)
+			stillQueued = append(stillQueued, at)
 		}
 	}
-	g.waiting = waiting
-	first := 0
-	for i, free := range g.cores {
-		if free < g.cores[first] {
-			first = i
+	g.queuedStarts = stillQueued
+	earliest := 0
+	for i, free := range g.coreFreeAt {
+		if free < g.coreFreeAt[earliest] {
+			earliest = i
 		}
 	}
-	begins := max(now, g.cores[first])
-	if begins > now {
-		if len(g.waiting) >= g.shape.Queue {
+	startsAt := max(now, g.coreFreeAt[earliest])
+	if startsAt > now {
+		if len(g.queuedStarts) >= g.profile.Queue {
 			return g.refuse(now)
 		}
-		g.waiting = append(g.waiting, begins)
+		g.queuedStarts = append(g.queuedStarts, startsAt)
 	}
-	ends := begins + rules.Millis(g.service()*slower/warmth)
-	g.cores[first] = ends
-	return Verdict{Ends: ends}
+	endsAt := startsAt + rules.Millis(g.drawServiceTime()*slowdown/capacityShare)
+	g.coreFreeAt[earliest] = endsAt
+	return Response{DueAt: endsAt}
 }
 
-// limited books a call under the limit and tells whether it is over it.
-func (g *Gateway) limited(now rules.Millis, part float64) bool {
-	if g.shape.Limit <= 0 {
+// countAgainstLimit counts a call against the limit and reports whether the call exceeds it.
+func (g *Gateway) countAgainstLimit(now rules.Millis, limitShare float64) bool {
+	if g.profile.Limit <= 0 {
 		return false
 	}
-	if span := g.shape.LimitSpan; span > 0 {
-		if begin := rules.Millis(math.Floor(float64(now/span))) * span; begin != g.spanAt {
-			g.spanAt, g.spanned = begin, 0
+	if window := g.profile.LimitWindow; window > 0 {
+		if start := rules.Millis(math.Floor(float64(now/window))) * window; start != g.windowStart {
+			g.windowStart, g.windowCalls = start, 0
 		}
-		over := float64(g.spanned+1) > max(g.shape.Limit*part*float64(span)/1000, 1)
-		if !over || g.shape.CountsRefused {
-			g.spanned++
+		over := float64(g.windowCalls+1) > max(g.profile.Limit*limitShare*float64(window)/1000, 1)
+		if !over || g.profile.CountsRefused {
+			g.windowCalls++
 		}
 		return over
 	}
-	g.fill(now, part)
+	g.refillTokens(now, limitShare)
 	if g.tokens >= 1 {
 		g.tokens--
 		return false
 	}
-	if g.shape.CountsRefused {
-		g.tokens = max(g.tokens-1, -g.depth(part))
+	if g.profile.CountsRefused {
+		g.tokens = max(g.tokens-1, -g.bucketDepth(limitShare))
 	}
 	return true
 }
 
-func (g *Gateway) fill(now rules.Millis, part float64) {
-	g.tokens = min(g.tokens+float64(now-g.filled)/1000*g.shape.Limit*part, g.depth(part))
-	g.filled = now
+// refillTokens adds the tokens of the time since the last call.
+func (g *Gateway) refillTokens(now rules.Millis, limitShare float64) {
+	g.tokens = min(g.tokens+float64(now-g.filledAt)/1000*g.profile.Limit*limitShare, g.bucketDepth(limitShare))
+	g.filledAt = now
 }
 
-func (g *Gateway) refuse(now rules.Millis) Verdict {
-	v := Verdict{Refused: true}
-	if g.shape.TellsWait > 0 && g.draw.Float64() < g.shape.TellsWait {
-		if v.Wait = g.shape.Wait; g.shape.LimitSpan > 0 {
-			v.Wait = g.spanAt + g.shape.LimitSpan - now
+// refuse returns a refusal that requests a wait in RetryAfterShare of the cases: the rest of the window where the limit
+// counts by windows, else RetryAfter.
+func (g *Gateway) refuse(now rules.Millis) Response {
+	response := Response{Refused: true}
+	if g.profile.RetryAfterShare > 0 && g.rng.Float64() < g.profile.RetryAfterShare {
+		if response.RetryAfter = g.profile.RetryAfter; g.profile.LimitWindow > 0 {
+			response.RetryAfter = g.windowStart + g.profile.LimitWindow - now
 		}
 	}
-	return v
+	return response
 }
 
-// Report is what its answers tell: the share of the limit that is left, and the limit in calls a second.
-func (g *Gateway) Report(now rules.Millis, part float64) (left, limit float64, told bool) {
-	if g.shape.Limit <= 0 || !g.shape.Reports {
+// Report returns what the responses report: the remaining share of the limit, and the limit in calls a second. reported
+// is false if they report nothing.
+func (g *Gateway) Report(now rules.Millis, limitShare float64) (remaining, limit float64, reported bool) {
+	if g.profile.Limit <= 0 || !g.profile.ReportsLimit {
 		return 0, 0, false
 	}
-	limit = g.shape.Limit * part
-	if span := g.shape.LimitSpan; span > 0 {
-		count := max(limit*float64(span)/1000, 1)
-		if rules.Millis(math.Floor(float64(now/span)))*span != g.spanAt {
+	limit = g.profile.Limit * limitShare
+	if window := g.profile.LimitWindow; window > 0 {
+		windowLimit := max(limit*float64(window)/1000, 1)
+		if rules.Millis(math.Floor(float64(now/window)))*window != g.windowStart {
 			return 1, limit, true
 		}
-		return max(1-float64(g.spanned)/count, 0), limit, true
+		return max(1-float64(g.windowCalls)/windowLimit, 0), limit, true
 	}
-	g.fill(now, part)
-	return max(g.tokens/g.depth(part), 0), limit, true
+	g.refillTokens(now, limitShare)
+	return max(g.tokens/g.bucketDepth(limitShare), 0), limit, true
 }
 
-// Pushed tells how many of the calls that pushed it over came from each sender.
+// Pushed returns how many of the calls that overloaded the destination came from each sender.
 func (g *Gateway) Pushed() map[int]int {
-	by := map[int]int{}
-	for _, a := range g.arrivals {
-		by[a.from]++
+	callsBySender := map[int]int{}
+	for _, a := range g.coldArrivals {
+		callsBySender[a.sender]++
 	}
-	return by
+	return callsBySender
 }
 
-// Down tells whether it has fallen over.
-func (g *Gateway) Down() bool { return g.down }
+// Overloaded reports whether the destination is overloaded. It never recovers from that.
+func (g *Gateway) Overloaded() bool { return g.overloaded }
--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -9,28 +9,32 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Site is a destination with the faults that strike it: what comes of each call is decided here, for stand-ins on
-// sockets and in simulated time alike. It is not safe for use by several goroutines.
+// Site is a destination with the faults that affect it. It decides the outcome of each call, for the stand-ins on
+// sockets as well as in simulated time. It is not safe for concurrent use.
 type Site struct {
 	*scenario.Destination
 	Core *Gateway
-	// Struck tells whether an outage is on; Seen the senders that saw a call fail or be refused in it.
+	// Struck reports whether an outage is active. Seen holds the senders that may have noticed an outage: those with a
+	// failed or refused call, or all of them if the destination can't see who tries.
 	Struck bool
 	Seen   map[int]bool
 
-	world *scenario.World
-	draw  *rand.Rand
+	instance *scenario.World
+	rng      *rand.Rand
 }
 
-// NewSite makes a destination of a world.
+// NewSite creates the site of one destination of a scenario's instance.
 func NewSite(w *scenario.World, d *scenario.Destination) *Site {
 	s := w.Settings
-	site := &Site{Destination: d, Seen: map[int]bool{}, world: w, draw: scenario.Chance(w.Seed, scenario.StreamGateways+uint64(d.Number))}
-	site.Core = New(d.Group.Shape, Back{ColdFrom: s.ColdFrom, Warm: s.WarmWithin, Fall: s.Fall, Multiple: s.TipMultiple}, site.draw)
+	site := &Site{Destination: d, Seen: map[int]bool{}, instance: w,
+		rng: scenario.Chance(w.Seed, scenario.StreamGateways+uint64(d.Number))}
+	site.Core = New(d.Group.Shape, RecoveryProfile{ColdShare: s.ColdFrom, WarmUp: s.WarmWithin,
+		OverloadWindow: s.Fall, OverloadMultiple: s.TipMultiple}, site.rng)
 	return site
 }
 
-// Outage tells whether a fault is an outage: down, silent, hung, shut, or most calls failing.
+// Outage reports whether a fault is an outage: the destination is unreachable, does not respond, refuses all calls, or
+// at least half of the calls fail in all grades.
 func Outage(f scenario.Fault) bool {
 	switch f.Kind {
 	case scenario.Refuse, scenario.Shut, scenario.Hang, scenario.Silent, scenario.NeverUp:
@@ -41,12 +45,13 @@
 	return false
 }
 
-// Blind tells whether a fault keeps a destination from seeing who tries: all may have.
-func Blind(f scenario.Fault) bool {
+// HidesCallers reports whether a destination can't see which senders try to reach it during a fault. Any sender may
+// have noticed such a fault.
+func HidesCallers(f scenario.Fault) bool {
 	return f.Kind == scenario.Refuse || f.Kind == scenario.Silent || f.Kind == scenario.NeverUp
 }
 
-// NextOutage is the next time after at at which an outage begins or ends, or -1.
+// NextOutage returns the first time after at when an outage starts or ends, or -1 if there is none.
 func (s *Site) NextOutage(at rules.Millis) rules.Millis {
 	next := rules.Millis(-1)
 	for _, f := range s.Faults {
@@ -57,27 +62,27 @@
 	return next
 }
 
-// StepOutage notes what outages act from a time on.
+// StepOutage updates the outage state for a time. The end of the last active outage makes the destination cold.
 func (s *Site) StepOutage(at rules.Millis) {
-	on := false
+	active := false
 	for _, f := range s.Faults {
 		if !Outage(f) || !f.Active(at) {
 			continue
 		}
-		on = true
-		if Blind(f) {
-			for sender := range s.world.Senders {
+		active = true
+		if HidesCallers(f) {
+			for sender := range s.instance.Senders {
 				s.Seen[sender] = true
 			}
 		}
 	}
-	if s.Struck && !on {
-		s.Core.Returned(at)
+	if s.Struck && !active {
+		s.Core.EndOutage(at)
 	}
-	s.Struck = on
+	s.Struck = active
 }
 
-// Active is the fault of a kind that acts at a time.
+// Active returns the first fault of a kind that acts at a time.
 func (s *Site) Active(kind string, now rules.Millis) (scenario.Fault, bool) {
 	for _, f := range s.Faults {
 		if f.Kind == kind && f.Active(now) {
@@ -87,40 +92,41 @@
 	return scenario.Fault{}, false
 }
 
-// Strike draws whether a fault strikes a call of a grade, -1 for any.
+// Strike decides at random whether a fault of a kind affects a call of a grade; -1 stands for an unknown grade, which
+// only faults of all grades affect.
 func (s *Site) Strike(kind string, grade int, now rules.Millis) (scenario.Fault, bool) {
-	f, on := s.Active(kind, now)
-	if !on {
+	f, active := s.Active(kind, now)
+	if !active {
 		return f, false
 	}
-	names := s.world.Names.Grades
+	names := s.instance.Names.Grades
 	if f.Grade != "" && (grade < 0 || grade >= len(names) || names[grade] != f.Grade) {
 		return f, false
 	}
-	return f, f.Share >= 1 || s.draw.Float64() < f.Share
+	return f, f.Share >= 1 || s.rng.Float64() < f.Share
 }
 
-// Fate is what happens to a call.
+// Fate is the outcome of a call.
 type Fate struct {
 	Status  int
-	Fields  []string // header lines of the answer
-	Raw     string   // in place of an answer: these bytes, which can't be used
-	At      rules.Millis
-	Wait    rules.Millis // told
-	Slow    bool         // the answer comes at a byte a second
-	Spoilt  bool
-	Never   bool // there is no answer
-	Reset   bool // the connection is reset
-	Ran     bool // it took effect
-	Unseen  bool // lost before it was looked at
-	Fell    bool // by this call the destination fell over
-	Fault   string
-	Told    bool // what is left of the limit, and the limit in calls a second
-	Left    float64
-	LimitIs float64
+	Fields  []string     // header lines of the response
+	Raw     string       // malformed bytes that are sent instead of a response
+	At      rules.Millis // when the response is due
+	Wait    rules.Millis // requested wait; 0: none
+	Slow    bool         // the response is sent at one byte a second
+	Spoilt  bool         // the response is malformed
+	Never   bool         // there is no response
+	Reset   bool         // the connection is reset
+	Ran     bool         // the call took effect
+	Unseen  bool         // the call is lost before it is read
+	Fell    bool         // this call overloaded the destination
+	Fault   string       // kind of the fault that decided the outcome; empty: none
+	Told    bool         // the response reports Left and LimitIs
+	Left    float64      // remaining share of the limit
+	LimitIs float64      // limit in calls a second
 }
 
-// Decide says what happens to a call of a grade that a sender's connection brought whole; below 0: not known.
+// Decide returns the outcome of a call that was read completely from a sender's connection. A grade below 0 is unknown.
 func (s *Site) Decide(now rules.Millis, sender, grade int) Fate {
 	for _, kind := range []string{scenario.Shut, scenario.Hang, scenario.ResetAfter, scenario.Errors, scenario.Spoilt} {
 		if _, struck := s.Strike(kind, grade, now); !struck {
@@ -129,57 +135,60 @@
 		if s.Struck {
 			s.Seen[sender] = true
 		}
-		f := Fate{At: now, Fault: kind}
+		fate := Fate{At: now, Fault: kind}
 		switch kind {
 		case scenario.Shut:
-			f.Status = 503
+			fate.Status = 503
 		case scenario.Hang:
-			f.Never, f.Ran = true, true
+			fate.Never, fate.Ran = true, true
 		case scenario.ResetAfter:
-			f.Reset, f.Ran = true, s.draw.Float64() < 0.5
+			fate.Reset, fate.Ran = true, s.rng.Float64() < 0.5
 		case scenario.Errors:
-			f.Status, f.Ran = 500, s.draw.Float64() < 0.5
+			fate.Status, fate.Ran = 500, s.rng.Float64() < 0.5
 		case scenario.Spoilt:
-			f.Raw, f.Status = spoil(s.draw)
-			f.Ran, f.Spoilt = true, true
+			fate.Raw, fate.Status = malformedResponse(s.rng)
+			fate.Ran, fate.Spoilt = true, true
 		}
-		return f
+		return fate
 	}
-	part, slower := 1.0, 1.0
+	limitShare, slowdown := 1.0, 1.0
 	if f, on := s.Active(scenario.LowLimit, now); on {
-		part = f.Size
+		limitShare = f.Size
 	}
 	if f, struck := s.Strike(scenario.Slow, grade, now); struck {
-		slower = f.Size
+		slowdown = f.Size
 	}
 	_, dribbles := s.Strike(scenario.Dribble, grade, now)
-	v := s.Core.Arrive(max(now, 0), sender, part, slower)
-	f := Fate{At: v.Ends, Slow: dribbles, Fell: v.Fell}
+	response := s.Core.Arrive(max(now, 0), sender, limitShare, slowdown)
+	fate := Fate{At: response.DueAt, Slow: dribbles, Fell: response.CausedOverload}
 	if dribbles {
-		f.Fault = scenario.Dribble
+		fate.Fault = scenario.Dribble
 	}
 	switch {
-	case v.Down:
-		f.Reset, f.Unseen, f.At, f.Fault = true, true, now, "fallen over"
-	case v.Refused:
-		f.Status, f.Wait, f.At = 503, v.Wait, now
-		if v.Wait > 0 {
-			f.Status = 429
-			f.Fields = append(f.Fields, "Retry-After: "+strconv.FormatFloat(float64(v.Wait)/1000, 'f', 3, 64))
+	case response.Overloaded:
+		fate.Reset, fate.Unseen, fate.At, fate.Fault = true, true, now, "overloaded"
+	case response.Refused:
+		fate.Status, fate.Wait, fate.At = 503, response.RetryAfter, now
+		if response.RetryAfter > 0 {
+			fate.Status = 429
+			fate.Fields = append(fate.Fields,
+				"Retry-After: "+strconv.FormatFloat(float64(response.RetryAfter)/1000, 'f', 3, 64))
 		}
 	default:
-		f.Status, f.Ran = 200, true
+		fate.Status, fate.Ran = 200, true
 	}
-	names := s.world.Names.Report
-	if f.Left, f.LimitIs, f.Told = s.Core.Report(max(now, 0), part); f.Told && len(names) == 2 {
-		f.Fields = append(f.Fields, fmt.Sprintf("Server-Load: %s=%.3f,%s=%.3f", names[0], f.Left, names[1], f.LimitIs))
+	reportFields := s.instance.Names.Report
+	if fate.Left, fate.LimitIs, fate.Told = s.Core.Report(max(now, 0), limitShare); fate.Told &&
+		len(reportFields) == 2 {
+		fate.Fields = append(fate.Fields, fmt.Sprintf("Server-Load: %s=%.3f,%s=%.3f",
+			reportFields[0], fate.Left, reportFields[1], fate.LimitIs))
 	} else {
-		f.Told = false
+		fate.Told = false
 	}
-	return f
+	return fate
 }
 
-// SeenBy copies the senders that saw the present outage.
+// SeenBy returns a copy of the set of senders that may have noticed an outage.
 func (s *Site) SeenBy() map[int]bool {
 	seen := map[int]bool{}
 	for sender := range s.Seen {
@@ -188,9 +197,9 @@
 	return seen
 }
 
-// spoil makes an answer that can't be used, with the status that its first line still tells whole, or 0.
-func spoil(draw *rand.Rand) (raw string, status int) {
-	switch draw.IntN(7) {
+// malformedResponse returns a random malformed response, and the status if its status line is complete, else 0.
+func malformedResponse(rng *rand.Rand) (raw string, status int) {
+	switch rng.IntN(7) {
 	case 0:
 		return "\x00\xff\x13 no HTTP at all\r\n\r\n", 0
 	case 1:
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -228,7 +228,8 @@
 		{At: 2.5, Destination: 1, Grade: 1, Key: 4}}, got); diff != "" {
 		t.Error(diff)
 	}
-	for line, want := range map[string]string{"x,1,a,,0,0": "at_ms", "0,11,a,,0,0": "from 1 to 10", "0,1,c,,0,0": "[a b]",
+	for line, want := range map[string]string{"x,1,a,,0,0": "at_ms",
+		"0,11,a,,0,0": "from 1 to 10", "0,1,c,,0,0": "[a b]",
 		"0,1,a,p,0,0": "portfolio",
 		"0,1,a,,-1,0": "key", "0,1,a,,0,99999": "65536", "0,1,a": "fields"} {
 		write("t.csv", strings.Join(traceHeader, ",")+"\n0,1,a,,0,0\n"+line+"\n")
--- a/internal/scenario/sick.go
+++ b/internal/scenario/sick.go
@@ -18,10 +18,10 @@
 // failingSet holds scenarios that differ only in their faults. The healthy destinations of each can be compared with
 // the same seed without faults, and the scenarios with one another.
 var failingSet = []setScenario{
-	{"sick-tenth-hang", "a tenth of the destinations take calls and never answer",
+	{"sick-tenth-hang", "a tenth of the destinations read calls and never respond",
 		destinationFault(Hang, "0.1", "")},
-	{"sick-half-hang", "half of the destinations take calls and never answer", destinationFault(Hang, "0.5", "")},
-	{"sick-most-hang", "nine tenths of the destinations take calls and never answer",
+	{"sick-half-hang", "half of the destinations read calls and never respond", destinationFault(Hang, "0.5", "")},
+	{"sick-most-hang", "nine tenths of the destinations read calls and never respond",
 		destinationFault(Hang, "0.9", "")},
 	{"sick-half-refuse", "half of the destinations refuse connections", destinationFault(Refuse, "0.5", "")},
 	{"sick-half-never-up", "at half of the destinations new connections are never established",
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -123,7 +123,7 @@
 
 // Arrivals generates the notices of an instance in the order of their times.
 type Arrivals struct {
-	world         *World
+	instance      *World
 	rng           *rand.Rand
 	clumpRNG      *rand.Rand
 	nextSingle    rules.Millis // time of the next notice that is not part of a clump
@@ -143,7 +143,7 @@
 
 // Arrivals returns a generator of the instance's notices, from the first one on.
 func (w *World) Arrivals() *Arrivals {
-	a := &Arrivals{world: w, rng: Chance(w.Seed, streamArrivals), clumpRNG: Chance(w.Seed, streamClumps),
+	a := &Arrivals{instance: w, rng: Chance(w.Seed, streamArrivals), clumpRNG: Chance(w.Seed, streamClumps),
 		nextClump: rules.Millis(math.Inf(1))}
 	a.nextSingle = a.nextPoissonTime(0, a.rng, w.Traffic.Rate*(1-w.Traffic.ClumpShare))
 	a.queueFirstNotices()
@@ -155,17 +155,17 @@
 
 // queueFirstNotices puts the first notices into the heap that also orders the notices of clumps.
 func (a *Arrivals) queueFirstNotices() {
-	first := a.world.Traffic.First
+	first := a.instance.Traffic.First
 	var destinations []int
-	for _, d := range a.world.Destinations {
+	for _, d := range a.instance.Destinations {
 		if d.Group.Name == first.Group {
 			destinations = append(destinations, d.Number)
 		}
 	}
-	grade := slices.Index(a.world.Names.Grades, first.Grade)
+	grade := slices.Index(a.instance.Names.Grades, first.Grade)
 	for i := range first.Count {
 		a.queued = append(a.queued, Arrival{At: first.Duration * rules.Millis(i) / rules.Millis(first.Count),
-			Destination: destinations[i%len(destinations)], Grade: grade, Body: a.world.Traffic.BodySize})
+			Destination: destinations[i%len(destinations)], Grade: grade, Body: a.instance.Traffic.BodySize})
 	}
 }
 
@@ -200,13 +200,13 @@
 // nextPoissonTime draws the next time after at of a Poisson process, thinned to the rate factor at each time. Its
 // result is infinite if the traffic ends before.
 func (a *Arrivals) nextPoissonTime(at rules.Millis, rng *rand.Rand, rate float64) rules.Millis {
-	maxFactor := a.world.maxRateFactor()
+	maxFactor := a.instance.maxRateFactor()
 	if rate <= 0 {
 		return rules.Millis(math.Inf(1))
 	}
-	for at < a.world.Length {
+	for at < a.instance.Length {
 		at += rules.Millis(rng.ExpFloat64() / (rate * maxFactor) * 1000)
-		if rng.Float64()*maxFactor < a.world.rateFactor(at) {
+		if rng.Float64()*maxFactor < a.instance.rateFactor(at) {
 			return at
 		}
 	}
@@ -215,15 +215,15 @@
 
 // Next returns the next notice; ok is false after the last one.
 func (a *Arrivals) Next() (arrival Arrival, ok bool) {
-	if trace := a.world.Trace; len(trace) > 0 {
-		if a.tracePosition == len(trace) || trace[a.tracePosition].At >= a.world.Length {
+	if trace := a.instance.Trace; len(trace) > 0 {
+		if a.tracePosition == len(trace) || trace[a.tracePosition].At >= a.instance.Length {
 			return Arrival{}, false
 		}
 		a.tracePosition++
 		return trace[a.tracePosition-1], true
 	}
-	traffic := &a.world.Traffic
-	for a.nextClump <= a.nextSingle && a.nextClump < a.world.Length &&
+	traffic := &a.instance.Traffic
+	for a.nextClump <= a.nextSingle && a.nextClump < a.instance.Length &&
 		(len(a.queued) == 0 || a.nextClump <= a.queued[0].At) {
 		first := a.drawArrival(a.clumpRNG, a.nextClump)
 		for range traffic.ClumpSize {
@@ -237,7 +237,7 @@
 	if len(a.queued) > 0 && a.queued[0].At <= a.nextSingle {
 		return heap.Pop(&a.queued).(Arrival), true
 	}
-	if a.nextSingle >= a.world.Length {
+	if a.nextSingle >= a.instance.Length {
 		return Arrival{}, false
 	}
 	arrival = a.drawArrival(a.rng, a.nextSingle)
@@ -247,7 +247,7 @@
 
 // drawArrival draws the destination, grade, portfolio and key of a notice.
 func (a *Arrivals) drawArrival(rng *rand.Rand, at rules.Millis) Arrival {
-	w := a.world
+	w := a.instance
 	arrival := Arrival{At: at, Destination: chooseWeighted(rng, w.cumulativeWeights) + 1,
 		Grade: chooseWeighted(rng, w.cumulativeGrades), Portfolio: chooseWeighted(rng, w.cumulativePortfolios),
 		Body: w.Traffic.BodySize}
