--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws the charts that reports hold.
+// Package chart draws the line charts of reports.
 package chart
 
 import (
@@ -22,21 +22,22 @@
 	From, To float64
 }
 
-// Chart is lines over a common axis.
+// Chart is a set of lines with common axes.
 type Chart struct {
 	Title, X, Y string
 	LogX, LogY  bool
-	Least, Most float64 // of the y axis, where Most is above Least
+	Least, Most float64 // range of the y axis if Most exceeds Least; else the range follows from the values
 	Bands       []Band
 	Lines       []Series
-	Points      bool // marks each value
+	Points      bool // mark each value with a point
 }
 
-// colours can be told apart by most people (Okabe and Ito).
-var colours = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {86, 180, 233, 255},
+// colours is the palette of Okabe and Ito, which people with colour vision deficiency can distinguish.
+var colours = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255},
+	{86, 180, 233, 255},
 	{230, 159, 0, 255}, {80, 80, 80, 255}}
 
-// Save writes the chart to a file; its ending, such as .svg or .png, says how.
+// Save writes the chart to a file. The extension of the path, such as .svg or .png, selects the format.
 func (c Chart) Save(path string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
@@ -49,19 +50,20 @@
 	if c.LogY {
 		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
-	least, most := c.Least, c.Most
-	if most <= least {
+	yMin, yMax := c.Least, c.Most
+	if yMax <= yMin {
 		for _, s := range c.Lines {
 			for i, y := range s.Y {
-				if i == 0 && most <= least {
-					least, most = y, y
+				if i == 0 && yMax <= yMin {
+					yMin, yMax = y, y
 				}
-				least, most = min(least, y), max(most, y)
+				yMin, yMax = min(yMin, y), max(yMax, y)
 			}
 		}
 	}
 	for _, b := range c.Bands {
-		box, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: least}, {X: b.To, Y: least}, {X: b.To, Y: most}, {X: b.From, Y: most}})
+		box, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: yMin}, {X: b.To, Y: yMin},
+			{X: b.To, Y: yMax}, {X: b.From, Y: yMax}})
 		if err != nil {
 			return fmt.Errorf("chart %s: %w", c.Title, err)
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay is a plain relay on net/http with a circuit breaker (sony/gobreaker) for each destination: what a team
-// would write in a day. It is the baseline that a sender's cost and results are held against, takes the same
-// configuration, and promises little: it has no ledger, keeps no waits and no limits, and calls anew after a failure
-// whatever the grade allows. It is never part of a sender.
+// Package relay is a simple relay on net/http with one circuit breaker (sony/gobreaker) per destination, as a team
+// could write it in a day. It is the baseline with which a sender's cost and results are compared. It reads the same
+// configuration but guarantees little: it has no ledger, ignores requested waits and limits, and retries after a
+// failure even where the grade forbids it. It is never part of a sender.
 package relay
 
 import (
@@ -24,91 +24,96 @@
 	"github.com/sony/gobreaker/v2"
 )
 
-// Relay is a running relay.
+// Relay is the relay server. mu guards the receiver list: members, readyAddresses and revision.
 type Relay struct {
-	config config.Config
-	client *http.Client
-	ends   *http.Client
+	config         config.Config
+	receiverClient *http.Client
+	platformClient *http.Client
 
-	mu    sync.RWMutex
-	list  map[string]directory.Member
-	ready map[int64][]string
-	since int64
-	dests sync.Map // int64 to *gobreaker.CircuitBreaker[int]
-	turn  atomic.Int64
+	mu             sync.RWMutex
+	members        map[string]directory.Member
+	readyAddresses map[int64][]string
+	revision       int64
+	breakers       sync.Map // int64 to *gobreaker.CircuitBreaker[int]
+	callCount      atomic.Int64
 }
 
-// New makes a relay that knows the configuration's receivers.
+// New creates a relay with the receivers of the configuration.
 func New(c config.Config) *Relay {
-	r := &Relay{config: c, list: map[string]directory.Member{}, client: &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: 64, IdleConnTimeout: 8 * time.Second, DisableCompression: true}}, ends: &http.Client{}}
+	r := &Relay{config: c, members: map[string]directory.Member{},
+		receiverClient: &http.Client{Transport: &http.Transport{
+			MaxIdleConnsPerHost: 64, IdleConnTimeout: 8 * time.Second, DisableCompression: true}},
+		platformClient: &http.Client{}}
 	for _, m := range c.Known.Members {
-		r.list[m.ID] = m
+		r.members[m.ID] = m
 	}
-	r.sort()
+	r.indexReady()
 	return r
 }
 
-// Serve serves until the context ends.
+// Serve accepts notices until the context ends.
 func (r *Relay) Serve(ctx context.Context) error {
-	server := &http.Server{Addr: r.config.Listen, Handler: http.HandlerFunc(r.take)}
-	go r.watch(ctx)
+	server := &http.Server{Addr: r.config.Listen, Handler: http.HandlerFunc(r.accept)}
+	go r.watchReceiverList(ctx)
 	go func() {
 		<-ctx.Done()
-		late, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		server.Shutdown(late)
+		server.Shutdown(shutdownCtx)
 	}()
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("serving: %w", err)
+		return fmt.Errorf("serving notices: %w", err)
 	}
 	return nil
 }
 
-func (r *Relay) sort() {
-	r.ready = map[int64][]string{}
-	for _, m := range r.list {
+// indexReady groups the addresses of the ready receivers by destination. The caller holds mu.
+func (r *Relay) indexReady() {
+	r.readyAddresses = map[int64][]string{}
+	for _, m := range r.members {
 		if m.Phase == "ready" {
-			r.ready[m.Cell] = append(r.ready[m.Cell], m.HostPort)
+			r.readyAddresses[m.Cell] = append(r.readyAddresses[m.Cell], m.HostPort)
 		}
 	}
 }
 
-func (r *Relay) watch(ctx context.Context) {
+// watchReceiverList polls discovery for changes of the receiver list until the context ends.
+func (r *Relay) watchReceiverList(ctx context.Context) {
 	for ctx.Err() == nil {
 		request, err := http.NewRequestWithContext(ctx, "GET",
-			fmt.Sprintf("http://%s/discovery/hosts?from=%d&hold_ms=2000", r.config.Discovery, r.since), nil)
+			fmt.Sprintf("http://%s/discovery/hosts?from=%d&hold_ms=2000", r.config.Discovery, r.revision), nil)
 		if err != nil {
 			return
 		}
 		var list directory.List
-		answer, err := r.ends.Do(request)
+		response, err := r.platformClient.Do(request)
 		if err == nil {
-			err = json.NewDecoder(answer.Body).Decode(&list)
-			answer.Body.Close()
+			err = json.NewDecoder(response.Body).Decode(&list)
+			response.Body.Close()
 		}
 		if err != nil {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
 		r.mu.Lock()
-		r.since = list.Revision
+		r.revision = list.Revision
 		for _, m := range list.Members {
-			r.list[m.ID] = m
+			r.members[m.ID] = m
 		}
-		r.sort()
+		r.indexReady()
 		r.mu.Unlock()
 	}
 }
 
-func (r *Relay) take(w http.ResponseWriter, request *http.Request) {
+// accept answers a notice with 202 before its delivery, or with 400 if its headers are invalid.
+func (r *Relay) accept(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == "/up" {
 		return
 	}
-	left, err := strconv.Atoi(request.Header.Get("Request-Timeout-Ms"))
-	dest, found := strings.CutPrefix(request.Header.Get("X-Consignee"), "dest=")
-	to, wrong := strconv.ParseInt(dest, 10, 64)
-	if err != nil || !found || wrong != nil {
+	timeoutMS, err := strconv.Atoi(request.Header.Get("Request-Timeout-Ms"))
+	destinationText, found := strings.CutPrefix(request.Header.Get("X-Consignee"), "dest=")
+	destination, destinationErr := strconv.ParseInt(destinationText, 10, 64)
+	if err != nil || !found || destinationErr != nil {
 		w.WriteHeader(400)
 		return
 	}
@@ -123,26 +128,35 @@
 		}
 	}
 	w.WriteHeader(202)
-	go r.deliver(request.Header.Get("Request-Id"), request.Header.Get("Idempotency-Key"), to, grade, body, time.Duration(left)*time.Millisecond)
+	go r.deliver(request.Header.Get("Request-Id"), request.Header.Get("Idempotency-Key"), destination, grade, body,
+		time.Duration(timeoutMS)*time.Millisecond)
 }
 
-func (r *Relay) breaker(to int64) *gobreaker.CircuitBreaker[int] {
-	if b, known := r.dests.Load(to); known {
+// breaker returns the circuit breaker of a destination and creates it on first use.
+func (r *Relay) breaker(destination int64) *gobreaker.CircuitBreaker[int] {
+	if b, found := r.breakers.Load(destination); found {
 		return b.(*gobreaker.CircuitBreaker[int])
 	}
-	b, _ := r.dests.LoadOrStore(to, gobreaker.NewCircuitBreaker[int](gobreaker.Settings{Timeout: 5 * time.Second, Interval: 30 * time.Second,
+	b, _ := r.breakers.LoadOrStore(destination, gobreaker.NewCircuitBreaker[int](gobreaker.Settings{
+		Timeout: 5 * time.Second, Interval: 30 * time.Second,
 		ReadyToTrip: func(c gobreaker.Counts) bool { return c.Requests >= 10 && c.TotalFailures*2 >= c.Requests }}))
 	return b.(*gobreaker.CircuitBreaker[int])
 }
 
-var errFailed = errors.New("the call failed")
+// errFailed makes a call count as failed by the circuit breaker.
+var errFailed = errors.New("no receiver is ready, or the receiver responded with a status other than 200")
 
-func (r *Relay) deliver(id, mark string, to int64, grade rules.Grade, body []byte, left time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), max(left-50*time.Millisecond, time.Millisecond))
+// deliver calls receivers until one handles the notice, up to the trip limit and the client timeout, and reports a
+// notice that was not delivered as given up.
+func (r *Relay) deliver(id, idempotencyKey string, destination int64, grade rules.Grade, body []byte,
+	timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), max(timeout-50*time.Millisecond, time.Millisecond))
 	defer cancel()
-	each := time.Duration(float64(grade.QuotedTime) * float64(time.Millisecond))
+	callTimeout := time.Duration(float64(grade.QuotedTime) * float64(time.Millisecond))
 	for trip := range r.config.Settings.TripLimit {
-		_, err := r.breaker(to).Execute(func() (int, error) { return r.call(ctx, each, id, mark, to, body) })
+		_, err := r.breaker(destination).Execute(func() (int, error) {
+			return r.call(ctx, callTimeout, id, idempotencyKey, destination, body)
+		})
 		if err == nil {
 			return
 		}
@@ -154,39 +168,42 @@
 			break
 		}
 	}
-	line := fmt.Sprintf(`{"message":%q,"outcome":"given_up"}`, id)
-	if answer, err := r.ends.Post("http://"+r.config.Discovery+"/v2/finals", "application/json", strings.NewReader(line)); err == nil {
-		answer.Body.Close()
+	outcome := fmt.Sprintf(`{"message":%q,"outcome":"given_up"}`, id)
+	if response, err := r.platformClient.Post("http://"+r.config.Discovery+"/v2/finals", "application/json",
+		strings.NewReader(outcome)); err == nil {
+		response.Body.Close()
 	}
 }
 
-func (r *Relay) call(ctx context.Context, each time.Duration, id, mark string, to int64, body []byte) (int, error) {
+// call makes one trip to the next ready receiver of the destination.
+func (r *Relay) call(ctx context.Context, callTimeout time.Duration, id, idempotencyKey string, destination int64,
+	body []byte) (int, error) {
 	r.mu.RLock()
-	ready := r.ready[to]
+	ready := r.readyAddresses[destination]
 	r.mu.RUnlock()
 	if len(ready) == 0 {
 		return 0, errFailed
 	}
-	ctx, cancel := context.WithTimeout(ctx, each)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	address := ready[int(r.turn.Add(1))%len(ready)]
+	address := ready[int(r.callCount.Add(1))%len(ready)]
 	request, err := http.NewRequestWithContext(ctx, "POST", "http://"+address+"/events", bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
 	request.Header.Set("Request-Id", id)
-	request.Header.Set("Request-Timeout-Ms", strconv.FormatInt(each.Milliseconds(), 10))
-	if mark != "" {
-		request.Header.Set("Idempotency-Key", mark)
+	request.Header.Set("Request-Timeout-Ms", strconv.FormatInt(callTimeout.Milliseconds(), 10))
+	if idempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", idempotencyKey)
 	}
-	answer, err := r.client.Do(request)
+	response, err := r.receiverClient.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	io.Copy(io.Discard, answer.Body)
-	answer.Body.Close()
-	if answer.StatusCode != 200 {
-		return answer.StatusCode, errFailed
+	io.Copy(io.Discard, response.Body)
+	response.Body.Close()
+	if response.StatusCode != 200 {
+		return response.StatusCode, errFailed
 	}
 	return 200, nil
 }
--- a/internal/results/results.go
+++ b/internal/results/results.go
@@ -1,5 +1,5 @@
-// Package results sums up what notices came to: how many were delivered, the credit that they earned, and how long it
-// took. Trials on sockets and the model in simulated time count by the same code.
+// Package results summarizes the outcomes of notices: how many were delivered, the credit that they earned, and how
+// long the delivery took. Runs on sockets and the model in simulated time use the same code.
 package results
 
 import (
@@ -8,7 +8,7 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Times is a spread of times in milliseconds.
+// Times holds quantiles of a distribution of times, in milliseconds.
 type Times struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -17,49 +17,50 @@
 	Max   float64 `json:"max"`
 }
 
-// Spread reads a histogram of microseconds.
+// Spread converts a histogram of microseconds into Times.
 func Spread(h *hdrhistogram.Histogram) Times {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Times{h.TotalCount(), at(50), at(99), at(99.9), float64(h.Max()) / 1000}
 }
 
-// Share is what a part of the notices came to.
+// Share is the result of a subset of the notices.
 type Share struct {
 	Name      string  `json:"name"`
-	Asked     int     `json:"asked"` // notices wanted, however often handed in
+	Asked     int     `json:"asked"` // distinct notices, however often each was submitted
 	Delivered int     `json:"delivered"`
-	Credit    float64 `json:"credit"` // earned of what was asked, from 0 to 1
+	Credit    float64 `json:"credit"` // earned share of the credit that the notices were worth, from 0 to 1
 	Delivery  Times   `json:"delivery_ms"`
 }
 
-// Tally counts a share up.
+// Tally collects the results of a subset of the notices.
 type Tally struct {
-	share         Share
-	asked, earned float64
-	Spread        *hdrhistogram.Histogram // of deliveries, in microseconds
+	share                     Share
+	creditAsked, creditEarned float64
+	Spread                    *hdrhistogram.Histogram // delivery times, in microseconds
 }
 
-// NewTally begins a count.
+// NewTally creates an empty tally.
 func NewTally(name string) *Tally {
 	return &Tally{share: Share{Name: name}, Spread: hdrhistogram.New(1, 3_600_000_000, 3)}
 }
 
-// Add counts a notice: the credit that it asked for and earned, and how long it took if it was delivered.
+// Add counts a notice: the credit that it was worth, the credit that it earned, and the delivery time if it was
+// delivered.
 func (t *Tally) Add(asked, earned float64, delivered bool, after rules.Millis) {
 	t.share.Asked++
-	t.asked += asked
-	t.earned += earned
+	t.creditAsked += asked
+	t.creditEarned += earned
 	if delivered {
 		t.share.Delivered++
 		t.Spread.RecordValue(max(int64(after*1000), 1))
 	}
 }
 
-// Share is the count so far.
+// Share returns the result of the notices counted so far.
 func (t *Tally) Share() Share {
 	s := t.share
-	if t.asked > 0 {
-		s.Credit = t.earned / t.asked
+	if t.creditAsked > 0 {
+		s.Credit = t.creditEarned / t.creditAsked
 	}
 	s.Delivery = Spread(t.Spread)
 	return s
