--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -74,14 +74,14 @@
 type Scenario struct {
 	Name, About     string
 	Seed            uint64
-	Length, Settle  rules.Millis
+	Length, Settle  rules.Millis // duration of the traffic; longest wait for final outcomes after it
 	Machine         limits.Machine
 	Settings        rules.Settings
 	Names           settings.Names
 	GradeShares     []float64
 	PortfolioShares []float64
 	Traffic         Traffic
-	ListDelay       rules.Millis
+	ListDelay       rules.Millis // delay until a change appears in the receiver list
 	Senders         int
 	FrontNotice     rules.Millis // how long clients keep choosing a sender that has died
 	Groups          []Group
@@ -94,12 +94,12 @@
 type Traffic struct {
 	Rate          float64 // notices a second
 	Shape         string
-	Zipf          float64
-	ClumpShare    float64
-	ClumpSize     int
+	Zipf          float64 // exponent of the Zipf distribution over destinations
+	ClumpShare    float64 // share of the notices that arrive in clumps
+	ClumpSize     int     // notices in a clump
 	ClumpDuration rules.Millis
-	BodySize      int
-	KeyCount      int
+	BodySize      int // bytes
+	KeyCount      int // distinct affinity keys; 0: notices have no key
 	Again         float64
 	Patience      rules.Millis
 	First         FirstNotices
@@ -117,37 +117,37 @@
 	Name                    string
 	Destinations, Receivers int
 	Kind                    string
-	Weight                  float64
+	Weight                  float64 // share of the traffic, relative to other destinations
 	Shape                   DestinationProfile
 }
 
 // DestinationProfile describes the capacity and the behaviour of a destination.
 type DestinationProfile struct {
-	Cores, Queue      int
-	Service           string
-	Mean              rules.Millis
-	CV                float64
-	Limit             float64 // calls a second; 0: no limit
-	LimitWindow       rules.Millis
-	LimitDepth        rules.Millis
-	CountsRefused     bool
-	ReportsLimit      bool
-	RetryAfterShare   float64
-	RetryAfter        rules.Millis
-	Connections       int
-	OverloadsWhenCold bool
+	Cores, Queue      int          // concurrent calls; further calls that may wait
+	Service           string       // distribution of the service time
+	Mean              rules.Millis // mean service time
+	CV                float64      // coefficient of variation of a lognormal service time
+	Limit             float64      // calls a second; 0: no limit
+	LimitWindow       rules.Millis // length of the windows in which calls are counted; 0: the limit is a token bucket
+	LimitDepth        rules.Millis // time in which the token bucket fills at the rate of the limit
+	CountsRefused     bool         // refused calls count towards the limit
+	ReportsLimit      bool         // responses report the remaining limit
+	RetryAfterShare   float64      // share of the refusals that request a wait
+	RetryAfter        rules.Millis // the requested wait where the limit has no window
+	Connections       int          // maximum number of connections; 0: no maximum
+	OverloadsWhenCold bool         // the destination is cold after an outage and can be overloaded then
 }
 
 // Fault is one scripted fault: its kind, its time, what it affects and how strongly.
 type Fault struct {
 	Kind        string
 	At, For     rules.Millis
-	Part        float64
-	Group       string
-	Busiest     bool
-	Grade       string // empty: all grades
-	Share, Size float64
-	Each        rules.Millis
+	Part        float64      // affected share of the destinations or senders
+	Group       string       // empty: all groups
+	Busiest     bool         // affects the destinations with the most traffic instead of random ones
+	Grade       string       // empty: all grades
+	Share, Size float64      // affected share of the calls; strength, whose meaning depends on the kind
+	Each        rules.Millis // period of a periodic fault
 }
 
 // Strikes returns the target of the fault.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -24,6 +24,7 @@
 	}
 }
 
+// smallScenario has four senders, two grades and one group of ten destinations.
 const smallScenario = `
 name = "small"
 length = "20s"
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -16,7 +16,7 @@
 type Destination struct {
 	Number    int
 	Group     *Group
-	Weight    float64
+	Weight    float64  // share of the traffic, relative to other destinations
 	Receivers []string // ids of the receivers at the start
 	Faults    []Fault
 }
