--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -129,7 +129,7 @@
 // Decide returns the outcome of a call that was read completely from a sender's connection. A grade below 0 is unknown.
 func (s *Site) Decide(now rules.Millis, sender, grade int) Fate {
 	for _, kind := range []string{scenario.Shut, scenario.Hang, scenario.ResetAfter, scenario.Errors, scenario.Spoilt} {
-		if _, struck := s.Strike(kind, grade, now); !struck {
+		if _, affected := s.Strike(kind, grade, now); !affected {
 			continue
 		}
 		if s.Struck {
@@ -155,7 +155,7 @@
 	if f, on := s.Active(scenario.LowLimit, now); on {
 		limitShare = f.Size
 	}
-	if f, struck := s.Strike(scenario.Slow, grade, now); struck {
+	if f, affected := s.Strike(scenario.Slow, grade, now); affected {
 		slowdown = f.Size
 	}
 	_, dribbles := s.Strike(scenario.Dribble, grade, now)
