--- a/rules/connections_test.go
+++ b/rules/connections_test.go
@@ -2,90 +2,92 @@
 
 import "testing"
 
-// connectionUp brings a trip's connection up, and the outcome of a recall.
-func (t *trace) connectionUp(notice NoticeID, before ...Event) {
-	t.turn(append(before, ConnectionUp{notice})...)
-	for _, recalled := range t.recalled {
-		for i, trip := range t.trips {
+// establishConnection reports, after the events before, that the connection for the call of a notice is
+// established. If the sender then recalls calls, it reports their outcomes.
+func (trace *decisionTrace) establishConnection(notice NoticeID, before ...Event) {
+	trace.runTurn(append(before, ConnectionUp{notice})...)
+	for _, recalled := range trace.recalled {
+		for i, trip := range trace.outstanding {
 			if trip.Notice == recalled {
-				t.trips = append(t.trips[:i], t.trips[i+1:]...)
-				t.turn(TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Recalled})
+				trace.outstanding = append(trace.outstanding[:i], trace.outstanding[i+1:]...)
+				trace.runTurn(TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Recalled})
 				break
 			}
 		}
 	}
-	t.recalled = nil
+	trace.recalled = nil
 }
 
-func TestCallLeavesWhenItsConnectionComesUp(tt *testing.T) {
-	t := start(tt, madeUp(), entry(1, 1))
-	t.take(1, NoticeTaken{Destination: 1})
-	t.pass(100)
-	t.connectionUp(1)
-	t.note("a notice that is not out, and one not known")
-	t.answer(Handled)
-	t.connectionUp(1)
-	t.connectionUp(77)
+func TestCallLeavesWhenItsConnectionComesUp(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(1, 1))
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.advance(100)
+	trace.establishConnection(1)
+	trace.note("a connection for a notice without outstanding trip, and one for an unknown notice")
+	trace.endTrip(Handled)
+	trace.establishConnection(1)
+	trace.establishConnection(77)
 }
 
-func TestCallIsTakenBackWithinToldWait(tt *testing.T) {
-	t := start(tt, madeUp(), entry(1, 1), entry(2, 1))
-	t.take(3, NoticeTaken{Destination: 1, Grade: 2})
-	t.pass(50)
-	t.note("the wait is told in the very turn in which a connection comes up, and binds the other receiver too")
-	trip := t.trips[0]
-	t.trips = t.trips[1:]
-	t.connectionUp(2, TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Full, Wait: 1000})
-	t.connectionUp(3)
-	t.pass(4000)
+func TestCallIsRecalledDuringRequestedWait(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(1, 1), entry(2, 1))
+	trace.accept(3, NoticeTaken{Destination: 1, Grade: 2})
+	trace.advance(50)
+	trace.note("a wait requested in the turn in which a connection comes up applies to both receivers")
+	trip := trace.outstanding[0]
+	trace.outstanding = trace.outstanding[1:]
+	trace.establishConnection(2, TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Full,
+		Wait: 1000})
+	trace.establishConnection(3)
+	trace.advance(4000)
 }
 
-func TestCallIsTakenBackFromReceiverThatDrains(tt *testing.T) {
-	t := start(tt, madeUp(), entry(1, 1), entry(2, 1))
-	t.take(1, NoticeTaken{Destination: 1})
-	drains := entry(t.trips[0].Receiver, 1)
-	drains.Standing = Draining
-	t.connectionUp(1, ListTold{Entries: []Entry{drains}})
-	t.pass(50)
+func TestCallIsRecalledFromDrainingReceiver(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(1, 1), entry(2, 1))
+	trace.accept(1, NoticeTaken{Destination: 1})
+	draining := entry(trace.outstanding[0].Receiver, 1)
+	draining.Standing = Draining
+	trace.establishConnection(1, ListTold{Entries: []Entry{draining}})
+	trace.advance(50)
 }
 
-func TestCallIsTakenBackWhenItsMarkIsForgotten(tt *testing.T) {
-	t := start(tt, madeUp(), entry(1, 1))
-	t.take(1, NoticeTaken{Destination: 1, Grade: 1, Trips: 1, Ran: 1, RanAgo: 5800})
-	t.pass(300)
-	t.connectionUp(1)
+func TestCallIsRecalledWhenItsMarkIsForgotten(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(1, 1))
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 1, Trips: 1, Ran: 1, RanAgo: 5800})
+	trace.advance(300)
+	trace.establishConnection(1)
 }
 
-// wide is the made-up deployment with room for several calls at once to one receiver.
-func wide() Settings {
-	settings := madeUp()
+// settingsWithManySlots returns testSettings with enough slots for several concurrent calls to one receiver.
+func settingsWithManySlots() Settings {
+	settings := testSettings()
 	settings.Slots = 24
 	return settings
 }
 
-func TestCallIsTakenBackOnceItsOutageShows(tt *testing.T) {
-	t := start(tt, wide(), entry(1, 1))
-	t.take(3, NoticeTaken{Destination: 1})
-	t.pass(50)
-	t.answer(NotConnected)
-	t.answer(NotConnected)
-	t.note("the third was decided on before the outage showed")
-	t.connectionUp(3)
-	t.pass(6000)
+func TestCallIsRecalledAfterOutageIsDetected(t *testing.T) {
+	trace := startTrace(t, settingsWithManySlots(), entry(1, 1))
+	trace.accept(3, NoticeTaken{Destination: 1})
+	trace.advance(50)
+	trace.endTrip(NotConnected)
+	trace.endTrip(NotConnected)
+	trace.note("the third call was decided on before the outage was detected")
+	trace.establishConnection(3)
+	trace.advance(6000)
 }
 
-func TestCallIsTakenBackWhileBreakerIsOpenOrTriesOthers(tt *testing.T) {
-	t := start(tt, wide(), entry(1, 1))
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2})
-	t.trips = nil
-	t.quiet = true
+func TestCallIsRecalledWhileBreakerIsOpenOrHalfOpen(t *testing.T) {
+	trace := startTrace(t, settingsWithManySlots(), entry(1, 1))
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2})
+	trace.outstanding = nil
+	trace.omitSends = true
 	for range minimumCallsBeforeCalculation {
-		t.take(1, NoticeTaken{Destination: 1})
-		t.answer(Errored)
-		t.trips = nil
-		t.pass(500)
+		trace.accept(1, NoticeTaken{Destination: 1})
+		trace.endTrip(Errored)
+		trace.outstanding = nil
+		trace.advance(500)
 	}
-	t.turn(ConnectionUp{1})
-	t.pass(resetTimeout)
-	t.turn(ConnectionUp{1})
+	trace.runTurn(ConnectionUp{1})
+	trace.advance(resetTimeout)
+	trace.runTurn(ConnectionUp{1})
 }
--- a/rules/exchanges_test.go
+++ b/rules/exchanges_test.go
@@ -2,28 +2,29 @@
 
 import "testing"
 
+// unconfirmedOutcome is an option of endTrip: the response may belong to another call.
 func unconfirmedOutcome(e *TripEnded) { e.Unconfirmed = true }
 
-func TestNextNoticeOfAKeyWaitsUntilAnOutcomeIsConfirmed(tt *testing.T) {
-	t := start(tt, madeUp(), entry(1, 1))
-	t.take(5, NoticeTaken{Destination: 1, Grade: 1, Key: 7})
-	t.answer(Handled, unconfirmedOutcome)
-	t.pass(500)
-	t.note("the first is confirmed")
-	t.turn(OutcomeConfirmed{1})
-	t.answer(Handled, unconfirmedOutcome)
-	t.pass(500)
-	t.note("the second is doubted")
-	t.turn(OutcomeDoubted{Notice: 2, Receiver: 1, SentAgo: 600})
-	t.await()
-	t.note("the third is ended before its refusal is confirmed")
-	t.answer(Full, unconfirmedOutcome)
-	t.turn(NoticeWithdrawn{3})
-	t.pass(500)
-	t.turn(OutcomeConfirmed{3})
-	t.answer(Handled)
-	t.note("the fourth was surely its own, so the fifth goes at once")
-	t.answer(Handled, unconfirmedOutcome)
-	t.turn(OutcomeConfirmed{5})
-	t.say("%d keys, %d unconfirmed", len(t.sender.keys), len(t.sender.unconfirmed))
+func TestNextNoticeOfAKeyWaitsUntilAnOutcomeIsConfirmed(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(1, 1))
+	trace.accept(5, NoticeTaken{Destination: 1, Grade: 1, Key: 7})
+	trace.endTrip(Handled, unconfirmedOutcome)
+	trace.advance(500)
+	trace.note("the first outcome is confirmed")
+	trace.runTurn(OutcomeConfirmed{1})
+	trace.endTrip(Handled, unconfirmedOutcome)
+	trace.advance(500)
+	trace.note("the second outcome is retracted")
+	trace.runTurn(OutcomeDoubted{Notice: 2, Receiver: 1, SentAgo: 600})
+	trace.awaitTrip()
+	trace.note("the third notice is withdrawn before its refusal is confirmed")
+	trace.endTrip(Full, unconfirmedOutcome)
+	trace.runTurn(NoticeWithdrawn{3})
+	trace.advance(500)
+	trace.runTurn(OutcomeConfirmed{3})
+	trace.endTrip(Handled)
+	trace.note("the fourth outcome was certain, so the fifth notice is sent at once")
+	trace.endTrip(Handled, unconfirmedOutcome)
+	trace.runTurn(OutcomeConfirmed{5})
+	trace.record("%d keys, %d unconfirmed", len(trace.sender.keys), len(trace.sender.unconfirmed))
 }
--- a/rules/odd_test.go
+++ b/rules/odd_test.go
@@ -5,109 +5,120 @@
 	"testing"
 )
 
-// TestOddEvents plays odd but legal events, drawn from a seed, and holds every action to the six rules.
-func TestOddEvents(tt *testing.T) {
+// TestOddEvents drives senders with unusual but valid random events, and checks each action against the six
+// delivery rules.
+func TestOddEvents(t *testing.T) {
 	for seed := range uint64(12) {
-		oddRun(tt, rand.New(rand.NewPCG(seed, 1)))
+		checkRandomEvents(t, rand.New(rand.NewPCG(seed, 1)))
 	}
 }
 
-type oddNotice struct {
+// noticeState is what the test knows of a notice, to check the actions of the sender.
+type noticeState struct {
 	NoticeTaken
-	until         Millis
-	trips, ended  int
-	out, mightRun bool
-	ranZone       ZoneID
+	expiresAt               Millis // client timeout
+	trips, finalAnswers     int
+	outstanding, mayHaveRun bool
+	runZone                 ZoneID // zone of the first trip that may have run
 }
 
-func oddRun(tt *testing.T, draw *rand.Rand) {
-	settings := madeUp()
+// checkRandomEvents drives one sender for 4000 turns and reports each violation of the rules.
+func checkRandomEvents(t *testing.T, random *rand.Rand) {
+	settings := testSettings()
 	settings.CallOff, settings.HoldLimit = true, 40
 	var list []Entry
 	for id := range ReceiverID(6) {
-		list = append(list, Entry{Receiver: id, Destination: DestinationID(id / 2), Kind: KindID(id / 4), Zone: ZoneID(id % 2),
-			Standing: Ready, ListedRate: float64(draw.IntN(20))})
+		list = append(list, Entry{Receiver: id, Destination: DestinationID(id / 2),
+			Kind: KindID(id / 4), Zone: ZoneID(id % 2),
+			Standing: Ready, ListedRate: float64(random.IntN(20))})
 	}
-	t := &trace{sender: New(draw.Uint64(), settings)}
-	t.turn(ListTold{Whole: true, Entries: list})
-	notices := map[NoticeID]*oddNotice{}
-	waits := map[DestinationID]Millis{}
-	var order []*oddNotice
-	fault := func(what string, n *oddNotice) { tt.Errorf("%s: notice %+v at %.0f", what, n, t.now) }
+	trace := &decisionTrace{sender: New(random.Uint64(), settings)}
+	trace.runTurn(ListTold{Whole: true, Entries: list})
+	notices := map[NoticeID]*noticeState{}
+	waitUntil := map[DestinationID]Millis{}
+	var acceptOrder []*noticeState
+	violation := func(what string, n *noticeState) { t.Errorf("%s: notice %+v at %.0f", what, n, trace.now) }
 	for range 4000 {
-		t.now += Millis(draw.IntN(40)) * settings.Tick
+		trace.now += Millis(random.IntN(40)) * settings.Tick
 		var events []Event
-		for range draw.IntN(4) {
-			t.next++
-			n := &oddNotice{NoticeTaken: NoticeTaken{Notice: t.next, Grade: GradeID(draw.IntN(4)), Key: KeyID(draw.IntN(3)),
-				Destination: DestinationID(draw.IntN(4)), Left: Millis(draw.IntN(6000)), Inherited: draw.IntN(9) == 0}}
-			n.until = t.now + n.Left
+		for range random.IntN(4) {
+			trace.lastNotice++
+			n := &noticeState{NoticeTaken: NoticeTaken{Notice: trace.lastNotice,
+				Grade: GradeID(random.IntN(4)), Key: KeyID(random.IntN(3)),
+				Destination: DestinationID(random.IntN(4)), Left: Millis(random.IntN(6000)),
+				Inherited: random.IntN(9) == 0}}
+			n.expiresAt = trace.now + n.Left
 			notices[n.Notice] = n
-			order = append(order, n)
+			acceptOrder = append(acceptOrder, n)
 			events = append(events, n.NoticeTaken)
 		}
-		for len(t.trips) > 0 && draw.IntN(3) > 0 {
-			trip := t.trips[0]
-			t.trips = t.trips[1:]
+		for len(trace.outstanding) > 0 && random.IntN(3) > 0 {
+			trip := trace.outstanding[0]
+			trace.outstanding = trace.outstanding[1:]
 			n := notices[trip.Notice]
-			e := TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Result(draw.IntN(8)), Spent: 90}
-			n.out, n.mightRun = false, n.mightRun || e.Result != Full && e.Result != NotConnected && e.Result != Moot
-			e.LimitTold, e.LimitLeft, e.LimitRate = draw.IntN(2) > 0, draw.Float64(), float64(draw.IntN(9))
+			e := TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Result(random.IntN(8)),
+				Spent: 90}
+			n.outstanding, n.mayHaveRun = false,
+				n.mayHaveRun || e.Result != Full && e.Result != NotConnected && e.Result != Moot
+			e.LimitTold, e.LimitLeft, e.LimitRate = random.IntN(2) > 0, random.Float64(),
+				float64(random.IntN(9))
 			if e.Result == Full && list[trip.Receiver].Kind == 0 {
-				e.Wait = Millis(draw.IntN(900))
-				waits[n.Destination] = max(waits[n.Destination], t.now+e.Wait)
+				e.Wait = Millis(random.IntN(900))
+				waitUntil[n.Destination] = max(waitUntil[n.Destination], trace.now+e.Wait)
 			}
-			if e.Result == Handled && n.ended == 0 {
-				e.Over, n.ended = true, 1
+			if e.Result == Handled && n.finalAnswers == 0 {
+				e.Over, n.finalAnswers = true, 1
 			}
 			events = append(events, e)
 		}
-		if draw.IntN(50) == 0 {
-			entry := &list[draw.IntN(len(list))]
-			entry.Standing = Standing(draw.IntN(3))
+		if random.IntN(50) == 0 {
+			entry := &list[random.IntN(len(list))]
+			entry.Standing = Standing(random.IntN(3))
 			events = append(events, ListTold{Entries: []Entry{*entry}}, NoticeWithdrawn{Notice: 1 << 30})
 		}
-		for _, a := range t.sender.Decide(t.now, events) {
+		for _, a := range trace.sender.Decide(trace.now, events) {
 			switch a := a.(type) {
 			case Send:
 				n := notices[a.Notice]
 				entry := list[a.Receiver]
 				switch {
-				case n.ended > 0 || n.out || n.trips >= settings.TripLimit:
-					fault("sent again", n)
+				case n.finalAnswers > 0 || n.outstanding || n.trips >= settings.TripLimit:
+					violation("sent after its end, while outstanding or over the trip limit", n)
 				case entry.Standing != Ready || entry.Destination != n.Destination:
-					fault("sent astray", n)
-				case t.now < waits[n.Destination]:
-					fault("sent in a wait", n)
-				case n.mightRun && (n.Grade >= 2 || n.Grade == 1 && entry.Zone != n.ranZone), n.Inherited && n.Grade == 1:
-					fault("might run twice", n)
+					violation("sent to a receiver that is not ready or of another destination", n)
+				case trace.now < waitUntil[n.Destination]:
+					violation("sent during a requested wait", n)
+				case n.mayHaveRun && (n.Grade >= 2 || n.Grade == 1 && entry.Zone != n.runZone),
+					n.Inherited && n.Grade == 1:
+					violation("sent although it may run twice", n)
 				}
-				if !n.mightRun {
-					n.ranZone = entry.Zone
+				if !n.mayHaveRun {
+					n.runZone = entry.Zone
 				}
-				for _, o := range order {
-					if o == n {
+				for _, earlier := range acceptOrder {
+					if earlier == n {
 						break
 					}
-					if o.Key == n.Key && n.Key != 0 && o.Grade == 1 && n.Grade == 1 && (o.ended == 0 || o.out) {
-						fault("out of turn", n)
+					if earlier.Key == n.Key && n.Key != 0 && earlier.Grade == 1 && n.Grade == 1 &&
+						(earlier.finalAnswers == 0 || earlier.outstanding) {
+						violation("sent before an earlier notice of its key ended", n)
 					}
 				}
-				n.out = true
+				n.outstanding = true
 				n.trips++
-				t.trips = append(t.trips, a)
+				trace.outstanding = append(trace.outstanding, a)
 			case Dismiss:
-				if n := notices[a.Notice]; n.mightRun && n.Grade >= 1 || n.out {
-					fault("dismissed", n)
+				if n := notices[a.Notice]; n.mayHaveRun && n.Grade >= 1 || n.outstanding {
+					violation("dismissed although it may have run or is outstanding", n)
 				}
-				notices[a.Notice].ended++
+				notices[a.Notice].finalAnswers++
 			case BreakOff:
-				notices[a.Notice].ended++
+				notices[a.Notice].finalAnswers++
 			}
 		}
-		for _, n := range order {
-			if n.ended > 1 || n.ended == 0 && !n.out && t.now > n.until {
-				fault("not ended once in time", n)
+		for _, n := range acceptOrder {
+			if n.finalAnswers > 1 || n.finalAnswers == 0 && !n.outstanding && trace.now > n.expiresAt {
+				violation("not ended exactly once before its client timeout", n)
 			}
 		}
 	}
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -5,621 +5,628 @@
 	"testing"
 )
 
-func TestBreaker(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("five of ten calls fail: the breaker opens")
-	t.take(10, NoticeTaken{Destination: 1})
+func TestBreaker(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("five of ten calls fail: the breaker opens")
+	trace.accept(10, NoticeTaken{Destination: 1})
 	for i := range 10 {
-		t.answer([]Result{Handled, Errored}[i%2])
-	}
-	t.note("nothing leaves until the reset time is over; what cannot outlast it is dismissed")
-	t.take(1, NoticeTaken{Destination: 1, Left: 3000})
-	t.pass(4900)
-	t.note("a failed trial opens it again")
-	t.answer(NotConnected)
-	t.pass(4900)
-	t.note("three trials succeed, at the pace of a return")
+		trace.endTrip([]Result{Handled, Errored}[i%2])
+	}
+	trace.note("no sends until the reset time is over; notices that expire before are dismissed")
+	trace.accept(1, NoticeTaken{Destination: 1, Left: 3000})
+	trace.advance(4900)
+	trace.note("a failed trial opens it again")
+	trace.endTrip(NotConnected)
+	trace.advance(4900)
+	trace.note("three trials succeed, at the rate of a recovery")
 	for range 3 {
-		t.answer(Handled)
+		trace.endTrip(Handled)
 	}
 }
 
-func TestLittleTraffic(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("too few calls to open the breaker: they are spaced once the outage is sure; what may have run is broken off")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2, Left: 4000})
-	t.answer(Errored)
-	t.take(2, NoticeTaken{Destination: 1})
+func TestLittleTraffic(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("too few calls for the breaker: a confirmed outage paces them; a possible run is broken off")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2, Left: 4000})
+	trace.endTrip(Errored)
+	trace.accept(2, NoticeTaken{Destination: 1})
 	for range 4 {
-		t.answer(NotConnected)
+		trace.endTrip(NotConnected)
 	}
 }
 
-func TestSilence(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
+func TestSilence(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
 	for range 3 {
-		t.take(1, NoticeTaken{Destination: 1})
-		t.answer(Handled)
+		trace.accept(1, NoticeTaken{Destination: 1})
+		trace.endTrip(Handled)
 	}
-	t.note("calls that owe too much together open the breaker before any times out")
-	t.take(4, NoticeTaken{Destination: 1, Grade: 2})
-	t.pass(3100)
+	trace.note("overdue calls together open the breaker before any of them times out")
+	trace.accept(4, NoticeTaken{Destination: 1, Grade: 2})
+	trace.advance(3100)
 }
 
-func TestDelayWindow(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1), entry(11, 1), entry(12, 1), entry(13, 1))
-	t.quiet = true
-	t.note("eight slots: half at first, never over three quarters")
+func TestDelayWindow(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1), entry(11, 1), entry(12, 1), entry(13, 1))
+	trace.omitSends = true
+	trace.note("eight slots: half of them at first, never more than three quarters")
 	for range 4 {
-		t.take(8, NoticeTaken{Destination: 1})
-		t.say("%d out", len(t.trips))
-		for len(t.trips) > 0 {
-			t.answer(Handled)
+		trace.accept(8, NoticeTaken{Destination: 1})
+		trace.record("%d out", len(trace.outstanding))
+		for len(trace.outstanding) > 0 {
+			trace.endTrip(Handled)
 		}
 	}
-	t.note("while it runs slow, half at most and fewer with each answer")
+	trace.note("while the route is slow, half of them at most, and fewer with each response")
 	slow := func(e *TripEnded) { e.Spent = 3000 }
 	for range 4 {
-		t.take(8, NoticeTaken{Destination: 1})
-		t.say("%d out", len(t.trips))
+		trace.accept(8, NoticeTaken{Destination: 1})
+		trace.record("%d out", len(trace.outstanding))
 		for range 4 {
-			t.answer(Handled, slow)
+			trace.endTrip(Handled, slow)
 		}
 	}
 }
 
-func TestCredits(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1), entry(11, 1))
-	t.note("a receiver whose calls fail has no credit left, and the other one gets what comes")
-	t.take(2, NoticeTaken{Destination: 1})
+func TestTokens(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1), entry(11, 1))
+	trace.note("a receiver whose calls fail has no tokens left, and the other one gets the notices")
+	trace.accept(2, NoticeTaken{Destination: 1})
 	for range 6 {
-		t.await()
-		t.answer(map[ReceiverID]Result{10: NotConnected, 11: Handled}[t.trips[0].Receiver])
-		t.take(1, NoticeTaken{Destination: 1})
+		trace.awaitTrip()
+		trace.endTrip(map[ReceiverID]Result{10: NotConnected, 11: Handled}[trace.outstanding[0].Receiver])
+		trace.accept(1, NoticeTaken{Destination: 1})
 	}
 }
 
-func TestFinalAnswer(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("rule 1: held, refused or out, each notice ends once and before its client timeout")
-	t.take(1, NoticeTaken{Destination: 9, Left: 500})
-	t.take(1, NoticeTaken{Destination: 1, Left: 500})
-	t.pass(490)
-	t.answer(TimedOut)
-	t.take(1, NoticeTaken{Destination: 1, Left: 1})
-	t.pass(1000)
+func TestFinalAnswer(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("rule 1: held, refused or outstanding, each notice ends once and before its client timeout")
+	trace.accept(1, NoticeTaken{Destination: 9, Left: 500})
+	trace.accept(1, NoticeTaken{Destination: 1, Left: 500})
+	trace.advance(490)
+	trace.endTrip(TimedOut)
+	trace.accept(1, NoticeTaken{Destination: 1, Left: 1})
+	trace.advance(1000)
 }
 
-func TestRepeats(tt *testing.T) {
+func TestRepeats(t *testing.T) {
 	far := entry(11, 1)
 	far.Zone = 1
-	t := start(tt, madeUp(), entry(10, 1), far)
-	t.note("rule 2: an at-most-once notice goes again after a refusal, and never after an error")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2})
-	t.answer(Full)
-	t.answer(Errored)
-	t.note("a numbered one goes again in the zone where it may have run, while its mark is remembered")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 1})
-	t.answer(Reset)
-	t.pass(5300)
-	t.answer(Reset)
-	t.pass(1000)
-	t.note("one that a dead sender held may have run in either zone")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 1, Inherited: true})
-	t.note("a reissuable one may go anywhere")
-	t.pass(5000)
-	t.take(1, NoticeTaken{Destination: 1, Inherited: true})
-}
-
-func TestDrain(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1), entry(11, 1))
-	t.note("rule 3: nothing to a receiver that drains, nor to one missing from a whole list")
-	drains := entry(10, 1)
-	drains.Standing = Draining
-	t.turn(ListTold{Entries: []Entry{drains}})
-	t.take(2, NoticeTaken{Destination: 1})
-	t.turn(ListTold{Whole: true, Entries: []Entry{entry(12, 1)}})
-	t.take(3, NoticeTaken{Destination: 1})
-}
-
-func TestReturn(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("rule 4: after a long told wait, sends are spaced by what a cold destination takes")
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Full, wait(6000))
-	t.take(30, NoticeTaken{Destination: 1})
-	t.pass(5900)
+	trace := startTrace(t, testSettings(), entry(10, 1), far)
+	trace.note("rule 2: an at-most-once notice is sent again after a refusal, and never after an error")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2})
+	trace.endTrip(Full)
+	trace.endTrip(Errored)
+	trace.note("a numbered one is sent again in the zone where it may have run, while its mark is remembered")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 1})
+	trace.endTrip(Reset)
+	trace.advance(5300)
+	trace.endTrip(Reset)
+	trace.advance(1000)
+	trace.note("one that was held by a sender that died may have run in either zone")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 1, Inherited: true})
+	trace.note("a reissuable one may be sent to either zone")
+	trace.advance(5000)
+	trace.accept(1, NoticeTaken{Destination: 1, Inherited: true})
+}
+
+func TestDrain(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1), entry(11, 1))
+	trace.note("rule 3: no sends to a draining receiver, nor to one missing from a whole list")
+	draining := entry(10, 1)
+	draining.Standing = Draining
+	trace.runTurn(ListTold{Entries: []Entry{draining}})
+	trace.accept(2, NoticeTaken{Destination: 1})
+	trace.runTurn(ListTold{Whole: true, Entries: []Entry{entry(12, 1)}})
+	trace.accept(3, NoticeTaken{Destination: 1})
+}
+
+func TestRecovery(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("rule 4: after a long requested wait, sends are spaced by the capacity of a cold destination")
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Full, requestWait(6000))
+	trace.accept(30, NoticeTaken{Destination: 1})
+	trace.advance(5900)
 	for range 6 {
-		t.answer(Handled)
+		trace.endTrip(Handled)
 	}
 }
 
-func TestLateAnswerIsNoReturn(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("an answer to a call from before the last sign of an outage does not end it")
-	t.take(3, NoticeTaken{Destination: 1})
-	t.answer(Full, wait(20_000))
-	t.answer(Handled)
-	t.pass(19_900)
-	t.take(4, NoticeTaken{Destination: 1})
-	t.pass(600)
+func TestLateResponseDoesNotEndOutage(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("a response to a call sent before the last sign of an outage does not end the outage")
+	trace.accept(3, NoticeTaken{Destination: 1})
+	trace.endTrip(Full, requestWait(20_000))
+	trace.endTrip(Handled)
+	trace.advance(19_900)
+	trace.accept(4, NoticeTaken{Destination: 1})
+	trace.advance(600)
 }
 
-func TestOrder(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("rule 5: notices of one key go in turn, and after a time-out the key rests")
-	t.take(3, NoticeTaken{Destination: 1, Grade: 1, Key: 7})
-	t.take(1, NoticeTaken{Destination: 1, Grade: 1, Key: 8})
-	t.answer(Handled)
-	t.answer(Handled)
-	t.answer(TimedOut)
-	t.answer(Handled)
-	t.answer(Handled)
+func TestOrder(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("rule 5: notices of one key are sent in order, and a timeout starts the cooldown of the key")
+	trace.accept(3, NoticeTaken{Destination: 1, Grade: 1, Key: 7})
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 1, Key: 8})
+	trace.endTrip(Handled)
+	trace.endTrip(Handled)
+	trace.endTrip(TimedOut)
+	trace.endTrip(Handled)
+	trace.endTrip(Handled)
 }
 
-func TestWait(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1), entry(11, 1), entry(20, 2))
-	t.take(1, NoticeTaken{Destination: 1})
-	t.note("rule 6: a wait holds for every receiver of the destination and for no other destination")
-	t.answer(Full, wait(700))
-	t.take(1, NoticeTaken{Destination: 1})
-	t.take(1, NoticeTaken{Destination: 2})
-	t.pass(1000)
+func TestWait(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1), entry(11, 1), entry(20, 2))
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.note("rule 6: a wait applies to every receiver of the destination and to no other destination")
+	trace.endTrip(Full, requestWait(700))
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.accept(1, NoticeTaken{Destination: 2})
+	trace.advance(1000)
 }
 
-func TestRoutesApart(tt *testing.T) {
+func TestSeparateRoutes(t *testing.T) {
 	near, far := entry(30, 3), entry(31, 3)
 	near.Kind, far.Kind, far.Zone = 1, 1, 1
-	t := start(tt, madeUp(), near, far)
-	t.note("notices share a call, three at most, and a slot; the route without a fee goes first")
-	t.take(7, NoticeTaken{Destination: 3})
-	t.note("each is told a wait of its own, and the longest binds that route alone")
-	t.answer(Full, wait(200))
-	t.answer(Full, wait(900))
-	t.answer(Full)
-	t.pass(1000)
-}
-
-func TestIdleConnections(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("once calls were lost after pauses and none without, idle connections are closed before the next call")
+	trace := startTrace(t, testSettings(), near, far)
+	trace.note("up to three notices share a call and its slot; the route without a fee is used first")
+	trace.accept(7, NoticeTaken{Destination: 3})
+	trace.note("the notices of a call get different waits; the longest applies, to this route only")
+	trace.endTrip(Full, requestWait(200))
+	trace.endTrip(Full, requestWait(900))
+	trace.endTrip(Full)
+	trace.advance(1000)
+}
+
+func TestIdleConnections(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("calls are lost on idle connections only, so these are closed before the next call")
 	for _, result := range []Result{Handled, Reset, Handled, Handled, Handled, Handled, TimedOut} {
-		t.take(1, NoticeTaken{Destination: 1})
-		t.answer(result)
+		trace.accept(1, NoticeTaken{Destination: 1})
+		trace.endTrip(result)
 		if result != Handled {
-			t.answer(Handled)
+			trace.endTrip(Handled)
 		}
-		t.pass(900)
+		trace.advance(900)
 	}
-	t.take(1, NoticeTaken{Destination: 1})
+	trace.accept(1, NoticeTaken{Destination: 1})
 }
 
-func TestSharedTable(tt *testing.T) {
-	t := start(tt, among(20), entry(10, 1))
-	t.note("among twenty senders a connection is let go after use, and kept once five calls came within its time")
+func TestScarceConnections(t *testing.T) {
+	trace := startTrace(t, settingsWithSenders(20), entry(10, 1))
+	trace.note("one of twenty senders closes a connection after use, unless five calls came within IdleKept")
 	for range 6 {
-		t.take(1, NoticeTaken{Destination: 1})
-		t.answer(Handled)
-		t.pass(50)
+		trace.accept(1, NoticeTaken{Destination: 1})
+		trace.endTrip(Handled)
+		trace.advance(50)
 	}
 }
 
-func TestReturnOfManySenders(tt *testing.T) {
-	t := start(tt, among(300), entry(10, 1))
-	t.note("rule 4: told to wait like 299 others, six notices held over 6 s are not sent as the wait ends,")
-	t.note("but from a drawn time on, spaced by their part of what all hold")
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Full, wait(6000))
-	t.take(5, NoticeTaken{Destination: 1})
-	t.pass(12_000)
+func TestRecoveryWithManySenders(t *testing.T) {
+	trace := startTrace(t, settingsWithSenders(300), entry(10, 1))
+	trace.note("rule 4: 300 senders got the same wait; six notices held over 6 s are not sent when it ends,")
+	trace.note("but from a random time on, spaced by their share of the notices that all senders hold")
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Full, requestWait(6000))
+	trace.accept(5, NoticeTaken{Destination: 1})
+	trace.advance(12_000)
 }
 
-func TestSwallowedCalls(tt *testing.T) {
-	settings := madeUp()
+func TestCallsWithoutResponse(t *testing.T) {
+	settings := testSettings()
 	settings.Slots, settings.CallOff = 2, true
-	t := start(tt, settings, entry(10, 1), entry(20, 2), entry(30, 4))
-	t.note("every slot is held by a call without an answer; the most overdue one makes room")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2})
-	t.take(1, NoticeTaken{Destination: 2, Grade: 2})
-	t.pass(3900)
-	t.take(1, NoticeTaken{Destination: 4})
-	t.pass(200)
-	t.answer(Cancelled)
-}
-
-func TestRoom(tt *testing.T) {
-	settings := madeUp()
+	trace := startTrace(t, settings, entry(10, 1), entry(20, 2), entry(30, 4))
+	trace.note("every slot is used by a call without response; the most overdue one is cancelled")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2})
+	trace.accept(1, NoticeTaken{Destination: 2, Grade: 2})
+	trace.advance(3900)
+	trace.accept(1, NoticeTaken{Destination: 4})
+	trace.advance(200)
+	trace.endTrip(Cancelled)
+}
+
+func TestNearlyFullHold(t *testing.T) {
+	settings := testSettings()
 	settings.HoldLimit, settings.WholeGoal = 10, 1
-	t := start(tt, settings, entry(10, 1))
-	t.note("a hold nearly full of notices for a shut destination gives back those that promise least")
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Full, wait(8000))
-	t.take(6, NoticeTaken{Destination: 1, Grade: 2})
-	t.take(4, NoticeTaken{Destination: 1})
+	trace := startTrace(t, settings, entry(10, 1))
+	trace.note("a nearly full hold for an unavailable destination: the lowest expected credit is dismissed")
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Full, requestWait(8000))
+	trace.accept(6, NoticeTaken{Destination: 1, Grade: 2})
+	trace.accept(4, NoticeTaken{Destination: 1})
 }
 
-func TestWatch(tt *testing.T) {
-	settings := madeUp()
+func TestWatch(t *testing.T) {
+	settings := testSettings()
 	settings.ListOnAsk, settings.AskWithin = true, 8000
-	t := start(tt, settings)
-	t.note("a watch that failed is asked for again")
-	t.turn(ListFailed{})
-	t.pass(1100)
-}
-
-func TestReissuableFirst(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("after a failure a reissuable notice goes before an at-most-once one that is more urgent")
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(NotConnected)
-	t.answer(Errored)
-	t.turn(NoticeTaken{Notice: 20, Grade: 2, Destination: 1, Left: 18_500},
+	trace := startTrace(t, settings)
+	trace.note("a watch that failed is requested again")
+	trace.runTurn(ListFailed{})
+	trace.advance(1100)
+}
+
+func TestReissuableFirst(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("after a failure a reissuable notice is sent before a more urgent at-most-once one")
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(NotConnected)
+	trace.endTrip(Errored)
+	trace.runTurn(NoticeTaken{Notice: 20, Grade: 2, Destination: 1, Left: 18_500},
 		NoticeTaken{Notice: 21, Destination: 1, Left: 20_000})
-	t.pass(5000)
+	trace.advance(5000)
 }
 
-func TestShareOfLimit(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1), entry(11, 1))
-	t.note("under a told limit of five a second sends are spaced, and more so after a refusal")
-	t.take(10, NoticeTaken{Destination: 1})
+func TestShareOfLimit(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1), entry(11, 1))
+	trace.note("a reported limit of five calls a second spaces the sends, and a refusal spaces them more")
+	trace.accept(10, NoticeTaken{Destination: 1})
 	for _, result := range []Result{Handled, Handled, Handled, Handled, Handled, Full, Handled, Handled} {
-		t.answer(result, told(5, 0))
+		trace.endTrip(result, reportLimit(5, 0))
 	}
 }
 
-func TestCurbedTimeOut(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("time-outs cut short by the client timeout tell nothing of the destination")
+func TestTimeoutShortenedByClientTimeout(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("timeouts shortened by the client timeout do not count against the destination")
 	for range 4 {
-		t.take(1, NoticeTaken{Destination: 1, Left: 300})
-		t.pass(280)
-		t.answer(TimedOut)
+		trace.accept(1, NoticeTaken{Destination: 1, Left: 300})
+		trace.advance(280)
+		trace.endTrip(TimedOut)
 	}
 }
 
-func TestWorstGrade(tt *testing.T) {
-	settings := madeUp()
+func TestWorstGrade(t *testing.T) {
+	settings := testSettings()
 	settings.HoldLimit, settings.WholeGoal, settings.WorstGoal = 10, 0.1, 0.9
-	t := start(tt, settings, entry(10, 1))
-	t.note("a grade served worst is not given up for room, though it has the least credit")
+	trace := startTrace(t, settings, entry(10, 1))
+	trace.note("the grade that is served worst is not dismissed for space, though it has the least credit")
 	for range 8 {
-		t.take(1, NoticeTaken{Destination: 1, Grade: 2})
-		t.answer(Handled)
-		t.take(1, NoticeTaken{Destination: 5, Left: 1})
-	}
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Full, wait(8000))
-	t.take(6, NoticeTaken{Destination: 1, Grade: 2})
-	t.take(4, NoticeTaken{Destination: 1})
-}
-
-func TestTimerRoundedDown(tt *testing.T) {
-	t := start(tt, madeUp())
-	t.timers = true
-	t.note("a timer that comes a hair before its time is not waited for any longer")
-	t.take(1, NoticeTaken{Destination: 1, Left: 500})
-	t.now = 485 - 1e-9
-	t.turn()
-	t.now = 490
-	t.turn()
-}
-
-func TestShutBelowLimit(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("refused for the limit, a destination is called again as the wait ends")
-	t.take(8, NoticeTaken{Destination: 1})
-	t.answer(Full, told(5, 0), wait(900))
-	t.pass(2000)
-	t.note("refused with most of the limit left it is shut, and called again at the pace of a return")
-	t.answer(Full, told(5, 0.9), wait(900))
-	t.pass(4000)
-}
-
-func TestRefusedAmongMany(tt *testing.T) {
-	settings := madeUp()
+		trace.accept(1, NoticeTaken{Destination: 1, Grade: 2})
+		trace.endTrip(Handled)
+		trace.accept(1, NoticeTaken{Destination: 5, Left: 1})
+	}
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Full, requestWait(8000))
+	trace.accept(6, NoticeTaken{Destination: 1, Grade: 2})
+	trace.accept(4, NoticeTaken{Destination: 1})
+}
+
+func TestTimerRoundedDown(t *testing.T) {
+	trace := startTrace(t, testSettings())
+	trace.recordTimers = true
+	trace.note("a timer that was rounded down counts as due just before its time")
+	trace.accept(1, NoticeTaken{Destination: 1, Left: 500})
+	trace.now = 485 - 1e-9
+	trace.runTurn()
+	trace.now = 490
+	trace.runTurn()
+}
+
+func TestRefusedBelowLimit(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("a destination that refused because of the limit is called again when the wait ends")
+	trace.accept(8, NoticeTaken{Destination: 1})
+	trace.endTrip(Full, reportLimit(5, 0), requestWait(900))
+	trace.advance(2000)
+	trace.note("refusals with most of the limit left are an outage: the next calls follow the recovery rate")
+	trace.endTrip(Full, reportLimit(5, 0.9), requestWait(900))
+	trace.advance(4000)
+}
+
+func TestRefusedAmongMany(t *testing.T) {
+	settings := testSettings()
 	settings.Senders, settings.TripLimit = 40, 9
-	t := start(tt, settings, entry(10, 1))
-	t.note("among many senders a refusal for the limit is followed by a pause that starts from what refusals told")
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Full, told(5, 0), wait(1400))
+	trace := startTrace(t, settings, entry(10, 1))
+	trace.note("with many senders, the pauses after refusals for the limit start from the requested wait")
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Full, reportLimit(5, 0), requestWait(1400))
 	for range 4 {
-		t.answer(Full, told(5, 0))
+		trace.endTrip(Full, reportLimit(5, 0))
 	}
 }
 
-func TestRefusalsWithoutEnd(tt *testing.T) {
-	t := start(tt, among(150), entry(10, 1))
-	t.note("a hung destination's calls use up its limit: refused again with nothing handled, it is taken for down")
-	t.take(3, NoticeTaken{Destination: 1})
+// The calls of a destination that hangs use up its limit, so that it refuses all further calls because of the
+// limit.
+func TestRefusalsWithoutEnd(t *testing.T) {
+	trace := startTrace(t, settingsWithSenders(150), entry(10, 1))
+	trace.note("refused for the limit again, with nothing handled, a destination counts as down")
+	trace.accept(3, NoticeTaken{Destination: 1})
 	for range 4 {
-		t.answer(Full, told(6, 0), wait(300))
+		trace.endTrip(Full, reportLimit(6, 0), requestWait(300))
 	}
-	t.pass(8000)
+	trace.advance(8000)
 }
 
-func TestFailedTwiceAmongMany(tt *testing.T) {
-	t := start(tt, among(300), entry(10, 1))
-	t.note("two failures seconds apart are all that one of hundreds sees: from then on it waits for its part")
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(NotConnected)
-	t.pass(500)
-	t.answer(NotConnected)
-	t.take(1, NoticeTaken{Destination: 1})
-	t.pass(16_000)
+// One of hundreds of senders makes so few calls that two failures are all that it sees of an outage.
+func TestFailedTwiceAmongMany(t *testing.T) {
+	trace := startTrace(t, settingsWithSenders(300), entry(10, 1))
+	trace.note("after two failures, seconds apart, the sender waits for its part of the recovery rate")
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(NotConnected)
+	trace.advance(500)
+	trace.endTrip(NotConnected)
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.advance(16_000)
 }
 
-func TestOwnLot(tt *testing.T) {
-	t := start(tt, madeUp())
-	t.note("senders told the same list prefer different receivers of a destination")
+func TestTieBreakDiffersAmongSenders(t *testing.T) {
+	trace := startTrace(t, testSettings())
+	trace.note("senders with the same list prefer different receivers of a destination")
 	for seed := range uint64(6) {
-		t.sender = New(seed<<40, madeUp())
-		t.turn(ListTold{Whole: true, Entries: []Entry{entry(10, 1), entry(11, 1), entry(12, 1)}})
-		t.take(1, NoticeTaken{Destination: 1})
+		trace.sender = New(seed<<40, testSettings())
+		trace.runTurn(ListTold{Whole: true, Entries: []Entry{entry(10, 1), entry(11, 1), entry(12, 1)}})
+		trace.accept(1, NoticeTaken{Destination: 1})
 	}
 }
 
-func TestGradeFailsAtOneReceiver(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1), entry(11, 1))
-	t.note("a grade whose trip failed at one receiver goes to the other one, while other grades go as before")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2})
-	t.answer(Errored)
-	t.pass(4000)
+func TestGradeFailsAtOneReceiver(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1), entry(11, 1))
+	trace.note("a grade that failed at one receiver is sent to the other one; others are sent as before")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2})
+	trace.endTrip(Errored)
+	trace.advance(4000)
 	for range 3 {
-		t.take(1, NoticeTaken{Destination: 1})
-		t.answer(Handled)
-		t.take(1, NoticeTaken{Destination: 1, Grade: 2})
-		t.answer(Handled)
-	}
-}
-
-func TestStartedAnew(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("what a sender held before it was started anew: at-most-once that may have run is broken off at once")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2, Trips: 2, Ran: 1, RanAgo: 5000})
-	t.note("with a trip that never ran, it is sent")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2, Trips: 1})
-	t.note("numbered: sent again while its mark is remembered, else broken off")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 1, Trips: 1, Ran: 1, RanAgo: 5000})
-	t.take(1, NoticeTaken{Destination: 1, Grade: 1, Trips: 1, Ran: 1, RanAgo: 7000})
-	t.note("and only where its first trip went")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 1, Trips: 1, Ran: 1, RanAgo: 1000, RanZone: 1})
-	t.note("trips made before count against the limit; a time that is up ends at once")
-	t.take(1, NoticeTaken{Destination: 1, Trips: 4, Ran: 4, RanAgo: 5000})
-	t.take(1, NoticeTaken{Destination: 1, Left: -500})
-}
-
-func TestCreditsWakeAQuietSender(tt *testing.T) {
-	t := start(tt, madeUp(), entry(10, 1))
-	t.note("two failures spend the receiver's credits; a further trip leaves once one is back, with no other event")
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Errored)
-	t.answer(Errored)
-	t.doze(4000)
-}
-
-// A sender that runs for long remembers no more than one just started: receivers come and go under new ids.
-func TestForgetsWhatIsGone(tt *testing.T) {
-	t := start(tt, madeUp(), entry(1, 1), Entry{Receiver: 2, Destination: 2, Kind: 1, Standing: Ready})
-	remembered := func() {
-		s := t.sender
-		t.say("%d receivers, %d routes, %d destinations, %d keys, %d notices", len(s.receivers), len(s.routes),
-			len(s.destinations), len(s.keys), len(s.notices))
+		trace.accept(1, NoticeTaken{Destination: 1})
+		trace.endTrip(Handled)
+		trace.accept(1, NoticeTaken{Destination: 1, Grade: 2})
+		trace.endTrip(Handled)
+	}
+}
+
+func TestRestart(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("notices held before a restart: an at-most-once one that may have run is broken off at once")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2, Trips: 2, Ran: 1, RanAgo: 5000})
+	trace.note("an at-most-once one whose trip did not run is sent")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2, Trips: 1})
+	trace.note("a numbered one is sent again while its mark is remembered, and broken off after that")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 1, Trips: 1, Ran: 1, RanAgo: 5000})
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 1, Trips: 1, Ran: 1, RanAgo: 7000})
+	trace.note("a numbered one is sent only in the zone of its first trip")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 1, Trips: 1, Ran: 1, RanAgo: 1000, RanZone: 1})
+	trace.note("trips before the restart count for the limit; an expired notice ends at once")
+	trace.accept(1, NoticeTaken{Destination: 1, Trips: 4, Ran: 4, RanAgo: 5000})
+	trace.accept(1, NoticeTaken{Destination: 1, Left: -500})
+}
+
+func TestTokenRefillWakesIdleSender(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(10, 1))
+	trace.note("two failures use the receiver's tokens; the next trip starts when one is refilled")
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Errored)
+	trace.endTrip(Errored)
+	trace.wakeByTimers(4000)
+}
+
+// The memory of a sender does not grow with its running time while receivers are removed, and others with new
+// ids are added.
+func TestGoneReceiversAreForgotten(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(1, 1),
+		Entry{Receiver: 2, Destination: 2, Kind: 1, Standing: Ready})
+	recordSizes := func() {
+		s := trace.sender
+		trace.record("%d receivers, %d routes, %d destinations, %d keys, %d notices", len(s.receivers),
+			len(s.routes), len(s.destinations), len(s.keys), len(s.notices))
 	}
 	for id := ReceiverID(3); id < 200; id += 2 {
-		t.quiet = true
-		t.take(1, NoticeTaken{Grade: 1, Destination: 1, Key: KeyID(id)})
-		t.answer(Handled)
-		t.turn(ListTold{Entries: []Entry{entry(id, 1), {Receiver: id - 2},
+		trace.omitSends = true
+		trace.accept(1, NoticeTaken{Grade: 1, Destination: 1, Key: KeyID(id)})
+		trace.endTrip(Handled)
+		trace.runTurn(ListTold{Entries: []Entry{entry(id, 1), {Receiver: id - 2},
 			{Receiver: id + 1, Destination: 2, Kind: 1, Standing: Ready}, {Receiver: id - 1}}})
-		t.pass(100)
-	}
-	t.pass(4000)
-	remembered()
-	t.note("a call is out to a receiver that goes: it is remembered until the call has come back")
-	t.quiet = false
-	t.take(1, NoticeTaken{Grade: 1, Destination: 1, Key: 1})
-	t.turn(ListTold{Entries: []Entry{{Receiver: 199}, {Receiver: 200}}})
-	t.pass(4000)
-	remembered()
-	t.answer(TimedOut)
-	t.note("nothing is listed any more")
-	t.pass(30_000)
-	remembered()
-}
-
-// Calls that left together and are refused together tell no more than one of them: the pause after them is one step
-// long, and with much of the limit left this sender's share of it stays.
-func TestRefusedTogether(tt *testing.T) {
-	t := start(tt, madeUp(), entry(1, 1), entry(2, 1))
-	t.quiet = true
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Handled, told(500, 0.8))
-	t.take(5, NoticeTaken{Destination: 1})
-	t.pass(50)
+		trace.advance(100)
+	}
+	trace.advance(4000)
+	recordSizes()
+	trace.note("a receiver with an outstanding call is removed: it is remembered until the call ends")
+	trace.omitSends = false
+	trace.accept(1, NoticeTaken{Grade: 1, Destination: 1, Key: 1})
+	trace.runTurn(ListTold{Entries: []Entry{{Receiver: 199}, {Receiver: 200}}})
+	trace.advance(4000)
+	recordSizes()
+	trace.endTrip(TimedOut)
+	trace.note("the receiver list is empty")
+	trace.advance(30_000)
+	recordSizes()
+}
+
+// Calls that were sent together and are refused together count as one refusal: the pause after them is one
+// backoff step long, and with much of the limit left this sender's share of the limit does not change.
+func TestRefusedTogether(t *testing.T) {
+	trace := startTrace(t, testSettings(), entry(1, 1), entry(2, 1))
+	trace.omitSends = true
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Handled, reportLimit(500, 0.8))
+	trace.accept(5, NoticeTaken{Destination: 1})
+	trace.advance(50)
 	for range 3 {
-		t.answer(Full)
+		trace.endTrip(Full)
 	}
-	state := func() {
-		r := t.sender.routes[0]
-		t.say("paused for under %.0f more, share %.2f, window %.1f", 125*math.Ceil(float64(r.waitUntil-t.now)/125), r.limitShare, r.delayWindow)
+	recordState := func() {
+		r := trace.sender.routes[0]
+		trace.record("paused for under %.0f more, share %.2f, window %.1f",
+			125*math.Ceil(float64(r.waitUntil-trace.now)/125), r.limitShare, r.delayWindow)
 	}
-	state()
-	t.note("refused again behind the pause, with little of the limit left")
-	t.answer(Handled)
-	t.answer(Full, told(500, 0.1))
-	state()
+	recordState()
+	trace.note("refused again after the pause, with little of the limit left")
+	trace.endTrip(Handled)
+	trace.endTrip(Full, reportLimit(500, 0.1))
+	recordState()
 }
 
-// Answers get lost at several destinations and calls fill the slots: with half of them overdue by what calls take,
-// the most overdue is called off long before its time-out.
-func TestAnswersLost(tt *testing.T) {
-	settings := madeUp()
+// Several destinations lose responses, and their calls fill the slots. With half of the calls overdue by the
+// mean delay, the most overdue one is cancelled long before its timeout.
+func TestResponsesLost(t *testing.T) {
+	settings := testSettings()
 	settings.CallOff, settings.Slots = true, 4
-	t := start(tt, settings, entry(1, 1), entry(2, 2), entry(3, 3))
-	t.quiet = true
+	trace := startTrace(t, settings, entry(1, 1), entry(2, 2), entry(3, 3))
+	trace.omitSends = true
 	for range 4 {
 		for d := range DestinationID(3) {
-			t.take(1, NoticeTaken{Destination: d + 1})
-			t.answer(Handled)
+			trace.accept(1, NoticeTaken{Destination: d + 1})
+			trace.endTrip(Handled)
 		}
 	}
-	t.quiet = false
+	trace.omitSends = false
 	for d := range DestinationID(3) {
-		t.take(4, NoticeTaken{Destination: d + 1})
+		trace.accept(4, NoticeTaken{Destination: d + 1})
 	}
-	t.pass(1500)
+	trace.advance(1500)
 }
 
-// Two lost calls and a quarter of the slots are enough for that, while the other slots are busy with calls just begun.
-func TestSomeAnswersLost(tt *testing.T) {
-	settings := madeUp()
+// A call is also cancelled when only two calls are lost and use a quarter of the slots, while calls that have
+// just begun use the other slots.
+func TestSomeResponsesLost(t *testing.T) {
+	settings := testSettings()
 	settings.CallOff = true
-	t := start(tt, settings, entry(1, 1), entry(2, 2), entry(3, 3), entry(4, 2), entry(5, 3))
-	t.quiet = true
+	trace := startTrace(t, settings, entry(1, 1), entry(2, 2), entry(3, 3), entry(4, 2), entry(5, 3))
+	trace.omitSends = true
 	for range 8 {
 		for d := range DestinationID(3) {
-			t.take(1, NoticeTaken{Destination: d + 1})
-			t.answer(Handled)
+			trace.accept(1, NoticeTaken{Destination: d + 1})
+			trace.endTrip(Handled)
 		}
 	}
-	t.quiet = false
-	t.take(2, NoticeTaken{Destination: 1})
-	t.pass(1100)
-	t.take(5, NoticeTaken{Destination: 2})
-	t.take(5, NoticeTaken{Destination: 3})
-	t.pass(200)
+	trace.omitSends = false
+	trace.accept(2, NoticeTaken{Destination: 1})
+	trace.advance(1100)
+	trace.accept(5, NoticeTaken{Destination: 2})
+	trace.accept(5, NoticeTaken{Destination: 3})
+	trace.advance(200)
 }
 
-func TestShortage(tt *testing.T) {
-	settings := madeUp()
+func TestShortage(t *testing.T) {
+	settings := testSettings()
 	settings.TripLimit = 2
-	t := start(tt, settings, entry(10, 1), entry(20, 2))
-	t.note("a call that this sender had no means for is no trip; all wait, each time longer, and no breaker opens")
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2})
+	trace := startTrace(t, settings, entry(10, 1), entry(20, 2))
+	trace.note("a local shortage is no trip and opens no breaker; all notices wait, longer each time")
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2})
 	for range 8 {
-		t.answer(Short)
+		trace.endTrip(Short)
 	}
-	t.note("another destination's notice waits too, until the shortage is over")
-	t.take(1, NoticeTaken{Destination: 2})
-	t.answer(Short)
-	t.answer(Handled)
-	t.answer(Handled)
-	t.note("what is handled ends the shortage: the next begins with a short pause")
-	t.take(1, NoticeTaken{Destination: 2})
-	t.answer(Short)
-	t.answer(Handled)
+	trace.note("the notice of another destination waits too, until the shortage is over")
+	trace.accept(1, NoticeTaken{Destination: 2})
+	trace.endTrip(Short)
+	trace.endTrip(Handled)
+	trace.endTrip(Handled)
+	trace.note("a handled notice ends the shortage: the next shortage begins with a short wait")
+	trace.accept(1, NoticeTaken{Destination: 2})
+	trace.endTrip(Short)
+	trace.endTrip(Handled)
 }
 
-func TestManySickTogether(tt *testing.T) {
-	settings := madeUp()
+func TestManyFailingDestinations(t *testing.T) {
+	settings := testSettings()
 	settings.Slots, settings.HoldLimit = 16, 1000
 	var list []Entry
 	for d := range DestinationID(9) {
 		list = append(list, entry(ReceiverID(10*d), d))
 	}
-	t := start(tt, settings, list...)
-	t.quiet = true
-	t.note("eight destinations hang, each with less than its own bound; together they hold three quarters of the slots")
+	trace := startTrace(t, settings, list...)
+	trace.omitSends = true
+	trace.note("eight destinations hang, each below its own limit; together they use 3/4 of the slots")
 	for range 40 {
 		for d := range DestinationID(8) {
-			t.take(1, NoticeTaken{Destination: d + 1})
+			trace.accept(1, NoticeTaken{Destination: d + 1})
 		}
-		t.pass(50)
+		trace.advance(50)
 	}
-	t.say("%d slots of %d are held", t.sender.slotsInUse, settings.Slots)
-	t.quiet = false
-	t.note("the one that is well is served at once")
-	t.take(1, NoticeTaken{Destination: 0, Grade: 2})
+	trace.record("%d slots of %d are in use", trace.sender.slotsInUse, settings.Slots)
+	trace.omitSends = false
+	trace.note("the notice of the healthy destination is sent at once")
+	trace.accept(1, NoticeTaken{Destination: 0, Grade: 2})
 }
 
-func TestSwallowedByMany(tt *testing.T) {
-	settings := madeUp()
+func TestCallsWithoutResponseAtSuspectRoutes(t *testing.T) {
+	settings := testSettings()
 	settings.Slots, settings.HoldLimit, settings.CallOff = 16, 1000, true
 	var list []Entry
 	for d := range DestinationID(8) {
 		list = append(list, entry(ReceiverID(10*d), d+1))
 	}
-	t := start(tt, settings, list...)
-	t.quiet = true
+	trace := startTrace(t, settings, list...)
+	trace.omitSends = true
 	for d := range DestinationID(8) {
 		for range 3 {
-			t.take(1, NoticeTaken{Destination: d + 1})
-			t.answer(Handled)
+			trace.accept(1, NoticeTaken{Destination: d + 1})
+			trace.endTrip(Handled)
 		}
 	}
-	t.note("after one reset each, every destination swallows its calls: the slots for doubtful ones fill, and the most " +
-		"overdue is called off")
+	trace.note("after one reset each, all destinations send no responses: the slots for suspect routes " +
+		"fill up, and the most overdue call is cancelled")
 	for d := range DestinationID(8) {
-		t.take(1, NoticeTaken{Destination: d + 1})
-		t.answer(Reset)
+		trace.accept(1, NoticeTaken{Destination: d + 1})
+		trace.endTrip(Reset)
 	}
 	for range 60 {
 		for d := range DestinationID(8) {
-			t.take(1, NoticeTaken{Destination: d + 1})
+			trace.accept(1, NoticeTaken{Destination: d + 1})
 		}
-		for _, id := range t.calledOff {
-			t.turn(TripEnded{Notice: id, Result: Cancelled, Spent: 1000})
+		for _, id := range trace.cancelled {
+			trace.runTurn(TripEnded{Notice: id, Result: Cancelled, Spent: 1000})
 		}
-		t.calledOff = nil
-		t.pass(50)
+		trace.cancelled = nil
+		trace.advance(50)
 	}
-	t.say("%d slots of %d are held", t.sender.slotsInUse, settings.Slots)
+	trace.record("%d slots of %d are in use", trace.sender.slotsInUse, settings.Slots)
 }
 
-func TestSwallowedUnseen(tt *testing.T) {
-	settings := madeUp()
+func TestCallsWithoutResponseAtNewRoutes(t *testing.T) {
+	settings := testSettings()
 	settings.HoldLimit, settings.CallOff = 1000, true
 	var list []Entry
 	for d := range DestinationID(20) {
 		list = append(list, entry(ReceiverID(10*d), d+1))
 	}
-	t := start(tt, settings, list...)
-	t.note("one destination has answered in 100 ms; calls to others that never have, and hold every slot, are measured by that")
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Handled)
+	trace := startTrace(t, settings, list...)
+	trace.note("routes that never responded fill the slots: the mean delay of all measures their calls")
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Handled)
 	for d := range DestinationID(10) {
-		t.take(1, NoticeTaken{Destination: d + 2})
+		trace.accept(1, NoticeTaken{Destination: d + 2})
 	}
 	for range 30 {
-		for _, id := range t.calledOff {
-			t.turn(TripEnded{Notice: id, Result: Cancelled, Spent: 1000})
+		for _, id := range trace.cancelled {
+			trace.runTurn(TripEnded{Notice: id, Result: Cancelled, Spent: 1000})
 		}
-		t.calledOff = nil
-		t.pass(50)
+		trace.cancelled = nil
+		trace.advance(50)
 	}
 }
 
-func TestRoomAtThisSender(tt *testing.T) {
-	settings := madeUp()
+func TestNearlyFullSpace(t *testing.T) {
+	settings := testSettings()
 	settings.WholeGoal = 1
-	t := start(tt, settings, entry(10, 1), entry(20, 2))
-	t.note("few notices with much of this sender's memory or ledger fill it as many do: the least promising goes back")
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Full, wait(8000))
-	t.take(2, NoticeTaken{Destination: 1, Grade: 2, Room: 0.3})
-	t.take(1, NoticeTaken{Destination: 1, Room: 0.25})
-	t.take(1, NoticeTaken{Destination: 2, Room: 0.1})
-	t.note("a large one that is handled gives its room back")
-	t.answer(Handled)
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2, Room: 0.29})
-	t.take(1, NoticeTaken{Destination: 2, Grade: 2, Room: 0.1})
-}
-
-func TestRoomForWhatMayGo(tt *testing.T) {
-	settings := madeUp()
+	trace := startTrace(t, settings, entry(10, 1), entry(20, 2))
+	trace.note("few large notices can fill memory or ledger: the lowest expected credit is dismissed")
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Full, requestWait(8000))
+	trace.accept(2, NoticeTaken{Destination: 1, Grade: 2, Room: 0.3})
+	trace.accept(1, NoticeTaken{Destination: 1, Room: 0.25})
+	trace.accept(1, NoticeTaken{Destination: 2, Room: 0.1})
+	trace.note("a large notice that is handled frees its space")
+	trace.endTrip(Handled)
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2, Room: 0.29})
+	trace.accept(1, NoticeTaken{Destination: 2, Grade: 2, Room: 0.1})
+}
+
+func TestNearlyFullHoldKeepsSendableNotices(t *testing.T) {
+	settings := testSettings()
 	settings.HoldLimit, settings.WholeGoal, settings.Slots = 10, 1, 2
-	t := start(tt, settings, entry(10, 1), entry(20, 2), entry(30, 3))
-	t.note("destination 1 has refused connections for ten seconds")
-	t.quiet = true
+	trace := startTrace(t, settings, entry(10, 1), entry(20, 2), entry(30, 3))
+	trace.note("destination 1 has refused connections for ten seconds")
+	trace.omitSends = true
 	for range 10 {
-		t.take(1, NoticeTaken{Destination: 1})
-		t.answer(NotConnected)
-		t.pass(1000)
-	}
-	t.quiet = false
-	t.trips = nil
-	t.note("the hold is nearly full: what waits for it goes back, not what waits for a slot to one that is well")
-	t.take(4, NoticeTaken{Destination: 2})
-	t.take(4, NoticeTaken{Destination: 1})
-	t.take(4, NoticeTaken{Destination: 2})
+		trace.accept(1, NoticeTaken{Destination: 1})
+		trace.endTrip(NotConnected)
+		trace.advance(1000)
+	}
+	trace.omitSends = false
+	trace.outstanding = nil
+	trace.note("the hold is nearly full: notices for destination 1 are dismissed, not those of 2")
+	trace.accept(4, NoticeTaken{Destination: 2})
+	trace.accept(4, NoticeTaken{Destination: 1})
+	trace.accept(4, NoticeTaken{Destination: 2})
 }
--- a/rules/serve_test.go
+++ b/rules/serve_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-func TestRouteThatOnlyRefusesTakesTheMostUrgentNoticeFirst(tt *testing.T) {
-	settings := madeUp()
+func TestRouteThatOnlyRefusesTakesTheMostUrgentNoticeFirst(t *testing.T) {
+	settings := testSettings()
 	settings.WholeGoal = 1
-	t := start(tt, settings, entry(1, 1))
-	t.take(1, NoticeTaken{Destination: 1})
-	t.answer(Full, wait(5000))
-	t.take(1, NoticeTaken{Destination: 1, Grade: 2})
-	t.pass(9000)
+	trace := startTrace(t, settings, entry(1, 1))
+	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.endTrip(Full, requestWait(5000))
+	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2})
+	trace.advance(9000)
 }
--- a/rules/stall_test.go
+++ b/rules/stall_test.go
@@ -2,29 +2,34 @@
 
 import "testing"
 
-// stall is how long the made-up sender may be held up between deciding and writing.
-const stall Millis = 150
+// longestPause is the longest pause of the process, between a decision and the write, that the test's sender
+// expects.
+const longestPause Millis = 150
 
-func stalling() Settings {
-	settings := madeUp()
-	settings.Stall = stall
+// settingsWithPause returns testSettings with longestPause.
+func settingsWithPause() Settings {
+	settings := testSettings()
+	settings.Stall = longestPause
 	return settings
 }
 
-func TestNoticeIsNotSentAgainWhenAHoldUpWouldOutlastItsMark(tt *testing.T) {
-	remembers := madeUp().Grades[1].RemembersFor
-	for wait := remembers - 2*stall; wait < remembers+stall; wait += 10 {
-		t := &trace{sender: New(1, stalling())}
-		t.turn(ListTold{Whole: true, Entries: []Entry{entry(1, 1)}})
-		t.take(1, NoticeTaken{Destination: 1, Grade: 1})
-		t.turn(WaitTold{Receiver: 1, Wait: wait})
-		t.answer(Errored)
-		t.pass(remembers - 2*stall)
-		for len(t.trips) == 0 && t.now < 2*remembers {
-			t.pass(t.sender.settings.Tick)
+// A numbered notice may be sent again only while its receiver remembers its mark, even when the process
+// pauses before it writes the call.
+func TestNoticeIsNotSentAgainWhenAPauseWouldOutlastItsMark(t *testing.T) {
+	rememberedFor := testSettings().Grades[1].RemembersFor
+	for wait := rememberedFor - 2*longestPause; wait < rememberedFor+longestPause; wait += 10 {
+		trace := &decisionTrace{sender: New(1, settingsWithPause())}
+		trace.runTurn(ListTold{Whole: true, Entries: []Entry{entry(1, 1)}})
+		trace.accept(1, NoticeTaken{Destination: 1, Grade: 1})
+		trace.runTurn(WaitTold{Receiver: 1, Wait: wait})
+		trace.endTrip(Errored)
+		trace.advance(rememberedFor - 2*longestPause)
+		for len(trace.outstanding) == 0 && trace.now < 2*rememberedFor {
+			trace.advance(trace.sender.settings.Tick)
 		}
-		if len(t.trips) > 0 && t.now+stall > remembers {
-			tt.Errorf("wait of %.0f: sent again after %.0f of %.0f", wait, t.now, remembers)
+		if len(trace.outstanding) > 0 && trace.now+longestPause > rememberedFor {
+			t.Errorf("requested wait of %.0f ms: sent again after %.0f ms, too late for the mark (%.0f ms)",
+				wait, trace.now, rememberedFor)
 		}
 	}
 }
--- a/rules/trace_test.go
+++ b/rules/trace_test.go
@@ -10,23 +10,24 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// trace plays events to a sender, a turn at a time, and prints what it decides.
-type trace struct {
-	sender *Sender
-	now    Millis
-	trips  []Send // those out, oldest first
-	next   NoticeID
-	quiet  bool // leaves sends out of the text
-	timers bool // puts timers in
-	due    Millis
-	// calledOff is the calls given up, whose outcome the test may tell.
-	calledOff []NoticeID
-	recalled  []NoticeID // whose outcome the test may tell
+// decisionTrace drives a sender with events, one turn at a time, and records the sender's decisions as text.
+type decisionTrace struct {
+	sender       *Sender
+	now          Millis
+	outstanding  []Send   // trips without an outcome, oldest first
+	lastNotice   NoticeID // id of the notice that was accepted last
+	omitSends    bool     // Send actions are not recorded
+	recordTimers bool     // SetTimer actions are recorded
+	timerAt      Millis   // time of the timer that was set last
+	// cancelled lists the notices whose trips were cancelled; a test can report their outcome.
+	cancelled []NoticeID
+	recalled  []NoticeID // notices whose calls were recalled; a test can report their outcome
 	text      strings.Builder
 }
 
-// madeUp is a deployment of the tests' own: two destinations, destination 1 with two receivers.
-func madeUp() Settings {
+// testSettings returns the settings of the tests: a small deployment with two kinds of destinations, of which
+// the second has separate routes.
+func testSettings() Settings {
 	return Settings{
 		Grades: []Grade{
 			{QuotedTime: 2000, ClientTimeout: 20_000, Credit: 1, LateShare: 0.5, Repeat: Reissuable},
@@ -36,146 +37,156 @@
 		},
 		Kinds: []Kind{{PerCall: 1}, {PerCall: 3, Apart: true}}, ZoneFees: []float64{0, 0.1},
 		Senders: 2, Slots: 8, HoldLimit: 100, TripLimit: 4, Tick: 5, RetryAfter: true, RetryMost: 3000,
-		ListedError: 0, ColdFrom: 0.2, WarmWithin: 10_000, TipMultiple: 2, Fall: 2000, KeyRest: 300, IdleKept: 10_000,
+		ListedError: 0, ColdFrom: 0.2, WarmWithin: 10_000, TipMultiple: 2, Fall: 2000, KeyRest: 300,
+		IdleKept: 10_000,
 	}
 }
 
-// among is the made-up deployment with so many senders.
-func among(senders int) Settings {
-	settings := madeUp()
+// settingsWithSenders returns testSettings for a deployment with the given number of senders.
+func settingsWithSenders(senders int) Settings {
+	settings := testSettings()
 	settings.Senders = senders
 	return settings
 }
 
-// start begins a trace, which is checked as its test ends.
-func start(tt *testing.T, settings Settings, entries ...Entry) *trace {
-	t := &trace{sender: New(0x9E3779B97F4A7C15, settings)}
-	t.turn(ListTold{Whole: true, Entries: entries})
-	tt.Cleanup(func() { t.check(tt) })
-	return t
+// startTrace starts a trace with the given receiver list. It is compared with its file when the test ends.
+func startTrace(t *testing.T, settings Settings, entries ...Entry) *decisionTrace {
+	trace := &decisionTrace{sender: New(0x9E3779B97F4A7C15, settings)}
+	trace.runTurn(ListTold{Whole: true, Entries: entries})
+	t.Cleanup(func() { trace.compareWithFile(t) })
+	return trace
 }
 
+// entry returns the list entry of a receiver that accepts calls.
 func entry(id ReceiverID, destination DestinationID) Entry {
 	return Entry{Receiver: id, Destination: destination, Standing: Ready, ListedRate: 20}
 }
 
-func (t *trace) turn(events ...Event) {
-	for _, a := range t.sender.Decide(t.now, events) {
+// runTurn passes events to the sender and records its decisions.
+func (trace *decisionTrace) runTurn(events ...Event) {
+	for _, a := range trace.sender.Decide(trace.now, events) {
 		switch a := a.(type) {
 		case Send:
-			t.trips = append(t.trips, a)
-			if t.quiet {
+			trace.outstanding = append(trace.outstanding, a)
+			if trace.omitSends {
 				continue
 			}
-			t.say("send %d to %d, time-out %.0f", a.Notice, a.Receiver, a.TimeOut)
+			trace.record("send %d to %d, time-out %.0f", a.Notice, a.Receiver, a.TimeOut)
 		case Dismiss:
-			t.say("dismiss %d, retry after %.0f", a.Notice, a.RetryAfter)
+			trace.record("dismiss %d, retry after %.0f", a.Notice, a.RetryAfter)
 		case BreakOff:
-			t.say("break off %d", a.Notice)
+			trace.record("break off %d", a.Notice)
 		case Turned:
-			t.say("log %s", a)
+			trace.record("log %s", a)
 		case CallOff:
-			t.calledOff = append(t.calledOff, a.Notice)
-			t.say("call off %d, trip %d", a.Notice, a.Trip)
+			trace.cancelled = append(trace.cancelled, a.Notice)
+			trace.record("cancel %d, trip %d", a.Notice, a.Trip)
 		case Write:
-			t.say("write %d", a.Notice)
+			trace.record("write %d", a.Notice)
 		case Recall:
-			t.say("recall %d", a.Notice)
-			t.recalled = append(t.recalled, a.Notice)
+			trace.record("recall %d", a.Notice)
+			trace.recalled = append(trace.recalled, a.Notice)
 		case LetGo:
-			t.say("let go of idle connections to %d", a.Receiver)
+			trace.record("close idle connections to %d", a.Receiver)
 		case SetTimer:
-			t.due = t.now + a.After
-			if t.timers {
-				t.say("timer in %.0f", a.After)
+			trace.timerAt = trace.now + a.After
+			if trace.recordTimers {
+				trace.record("timer in %.0f", a.After)
 			}
 		case WatchList:
-			t.say("watch the list")
+			trace.record("watch the receiver list")
 		}
 	}
 }
 
-func (t *trace) say(format string, args ...any) {
-	fmt.Fprintf(&t.text, "%6.0f  %s\n", t.now, fmt.Sprintf(format, args...))
+// record adds a line with the present time to the trace.
+func (trace *decisionTrace) record(format string, args ...any) {
+	fmt.Fprintf(&trace.text, "%6.0f  %s\n", trace.now, fmt.Sprintf(format, args...))
 }
 
-// note writes a line for the reader.
-func (t *trace) note(text string) { fmt.Fprintf(&t.text, "# %s\n", text) }
+// note adds a comment line to the trace.
+func (trace *decisionTrace) note(text string) { fmt.Fprintf(&trace.text, "# %s\n", text) }
 
-// take hands in notices of a grade.
-func (t *trace) take(count int, n NoticeTaken) {
+// accept reports in one turn that a number of notices like n were accepted, each with an id of its own. The
+// time left until their client timeout is 20 s unless n sets it.
+func (trace *decisionTrace) accept(count int, n NoticeTaken) {
 	var events []Event
 	for range count {
-		t.next++
-		n.Notice = t.next
+		trace.lastNotice++
+		n.Notice = trace.lastNotice
 		if n.Left == 0 {
 			n.Left = 20_000
 		}
 		events = append(events, n)
 	}
-	t.turn(events...)
+	trace.runTurn(events...)
 }
 
-// await waits for a trip to be out.
-func (t *trace) await() bool {
-	for end := t.now + 30_000; len(t.trips) == 0 && t.now < end; {
-		t.pass(t.sender.settings.Tick)
+// awaitTrip advances the time until a trip is outstanding, by 30 s at most, and reports whether there is one.
+func (trace *decisionTrace) awaitTrip() bool {
+	for end := trace.now + 30_000; len(trace.outstanding) == 0 && trace.now < end; {
+		trace.advance(trace.sender.settings.Tick)
 	}
-	return len(t.trips) > 0
+	return len(trace.outstanding) > 0
 }
 
-// answer ends the oldest trip.
-func (t *trace) answer(result Result, more ...func(*TripEnded)) {
-	if !t.await() {
-		t.say("no trip is out")
+// endTrip reports the outcome of the oldest outstanding trip, and awaits a trip if there is none. The options
+// change the reported event.
+func (trace *decisionTrace) endTrip(result Result, options ...func(*TripEnded)) {
+	if !trace.awaitTrip() {
+		trace.record("no trip is outstanding")
 		return
 	}
-	trip := t.trips[0]
-	t.trips = t.trips[1:]
-	e := TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: result, Spent: 100, Over: result == Handled}
-	for _, f := range more {
-		f(&e)
+	trip := trace.outstanding[0]
+	trace.outstanding = trace.outstanding[1:]
+	e := TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: result, Spent: 100,
+		Over: result == Handled}
+	for _, option := range options {
+		option(&e)
 	}
-	t.turn(e)
+	trace.runTurn(e)
 }
 
-// told is what an answer tells of a limit.
-func told(rate, left float64) func(*TripEnded) {
+// reportLimit is an option of endTrip: the response reports a limit in calls per second, and the share of it
+// that is left.
+func reportLimit(rate, left float64) func(*TripEnded) {
 	return func(e *TripEnded) { e.LimitTold, e.LimitRate, e.LimitLeft = true, rate, left }
 }
 
-func wait(span Millis) func(*TripEnded) { return func(e *TripEnded) { e.Wait = span } }
+// requestWait is an option of endTrip: the receiver requests a wait.
+func requestWait(duration Millis) func(*TripEnded) { return func(e *TripEnded) { e.Wait = duration } }
 
-// pass lets time go by, a tick at a time.
-func (t *trace) pass(span Millis) {
-	for end := t.now + span; t.now < end; {
-		t.now += t.sender.settings.Tick
-		t.turn()
+// advance lets a duration pass, with a turn at each tick.
+func (trace *decisionTrace) advance(duration Millis) {
+	for end := trace.now + duration; trace.now < end; {
+		trace.now += trace.sender.settings.Tick
+		trace.runTurn()
 	}
 }
 
-// doze lets time go by as a quiet sender sees it: only its timers wake it.
-func (t *trace) doze(span Millis) {
-	for end := t.now + span; t.due > t.now && t.due <= end; {
-		t.now = t.due
-		t.turn(TimerDue{})
+// wakeByTimers lets a duration pass, with turns only when the sender's timer fires, as for an idle sender.
+func (trace *decisionTrace) wakeByTimers(duration Millis) {
+	for end := trace.now + duration; trace.timerAt > trace.now && trace.timerAt <= end; {
+		trace.now = trace.timerAt
+		trace.runTurn(TimerDue{})
 	}
 }
 
-// check compares the trace with the one kept under testdata; UPDATE=1 writes it anew.
-func (t *trace) check(tt *testing.T) {
-	tt.Helper()
-	path := filepath.Join("testdata", tt.Name()+".txt")
+// compareWithFile compares the trace with the one in the test's file under testdata. UPDATE=1 rewrites the
+// file.
+func (trace *decisionTrace) compareWithFile(t *testing.T) {
+	t.Helper()
+	path := filepath.Join("testdata", t.Name()+".txt")
 	if os.Getenv("UPDATE") != "" {
-		if err := os.WriteFile(path, []byte(t.text.String()), 0o644); err != nil {
-			tt.Fatal(err)
+		if err := os.WriteFile(path, []byte(trace.text.String()), 0o644); err != nil {
+			t.Fatal(err)
 		}
 	}
 	want, err := os.ReadFile(path)
 	if err != nil {
-		tt.Fatal(err)
+		t.Fatal(err)
 	}
-	if diff := cmp.Diff(string(want), t.text.String()); diff != "" {
-		tt.Errorf("decisions changed (-kept +now):\n%s", diff)
+	if diff := cmp.Diff(string(want), trace.text.String()); diff != "" {
+		t.Errorf("decisions changed (-want +got):\n%s", diff)
 	}
 }
