--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -24,9 +24,10 @@
 	}
 }
 
+// The at-most-once notice is broken off after its error, because it may have run.
 func TestLittleTraffic(t *testing.T) {
 	trace := startTrace(t, testSettings(), entry(10, 1))
-	trace.note("too few calls for the breaker: a confirmed outage paces them; a possible run is broken off")
+	trace.note("too few calls to open the breaker: once the outage is confirmed, they are spaced")
 	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2, Left: 4000})
 	trace.endTrip(Errored)
 	trace.accept(2, NoticeTaken{Destination: 1})
@@ -52,7 +53,7 @@
 	trace.note("eight slots: half of them at first, never more than three quarters")
 	for range 4 {
 		trace.accept(8, NoticeTaken{Destination: 1})
-		trace.record("%d out", len(trace.outstanding))
+		trace.record("%d outstanding", len(trace.outstanding))
 		for len(trace.outstanding) > 0 {
 			trace.endTrip(Handled)
 		}
@@ -61,7 +62,7 @@
 	slow := func(e *TripEnded) { e.Spent = 3000 }
 	for range 4 {
 		trace.accept(8, NoticeTaken{Destination: 1})
-		trace.record("%d out", len(trace.outstanding))
+		trace.record("%d outstanding", len(trace.outstanding))
 		for range 4 {
 			trace.endTrip(Handled, slow)
 		}
@@ -194,6 +195,7 @@
 	trace.accept(1, NoticeTaken{Destination: 1})
 }
 
+// Connections count as scarce while too few calls were made to know whether the destination refuses them.
 func TestScarceConnections(t *testing.T) {
 	trace := startTrace(t, settingsWithSenders(20), entry(10, 1))
 	trace.note("one of twenty senders closes a connection after use, unless five calls came within IdleKept")
@@ -231,7 +233,7 @@
 	settings := testSettings()
 	settings.HoldLimit, settings.WholeGoal = 10, 1
 	trace := startTrace(t, settings, entry(10, 1))
-	trace.note("a nearly full hold for an unavailable destination: the lowest expected credit is dismissed")
+	trace.note("the hold fills for one unavailable destination: the least expected credit is dismissed")
 	trace.accept(1, NoticeTaken{Destination: 1})
 	trace.endTrip(Full, requestWait(8000))
 	trace.accept(6, NoticeTaken{Destination: 1, Grade: 2})
@@ -296,7 +298,7 @@
 func TestTimerRoundedDown(t *testing.T) {
 	trace := startTrace(t, testSettings())
 	trace.recordTimers = true
-	trace.note("a timer that was rounded down counts as due just before its time")
+	trace.note("a timer that fires just before its time, because it was rounded down, counts as due")
 	trace.accept(1, NoticeTaken{Destination: 1, Left: 500})
 	trace.now = 485 - 1e-9
 	trace.runTurn()
@@ -315,6 +317,7 @@
 	trace.advance(4000)
 }
 
+// The backoff after refusals grows with the number of senders that share the limit.
 func TestRefusedAmongMany(t *testing.T) {
 	settings := testSettings()
 	settings.Senders, settings.TripLimit = 40, 9
@@ -497,6 +500,7 @@
 	trace.advance(200)
 }
 
+// A call that could not be sent, because this sender ran short of a resource, does not count as a trip.
 func TestShortage(t *testing.T) {
 	settings := testSettings()
 	settings.TripLimit = 2
@@ -573,6 +577,8 @@
 	trace.record("%d slots of %d are in use", trace.sender.slotsInUse, settings.Slots)
 }
 
+// Only one destination has responded, in 100 ms. The routes of the others have no mean delay of their own, so
+// their calls become overdue by the mean delay of all routes.
 func TestCallsWithoutResponseAtNewRoutes(t *testing.T) {
 	settings := testSettings()
 	settings.HoldLimit, settings.CallOff = 1000, true
@@ -581,7 +587,7 @@
 		list = append(list, entry(ReceiverID(10*d), d+1))
 	}
 	trace := startTrace(t, settings, list...)
-	trace.note("routes that never responded fill the slots: the mean delay of all measures their calls")
+	trace.note("routes that never responded use the slots: their calls become overdue by the overall mean")
 	trace.accept(1, NoticeTaken{Destination: 1})
 	trace.endTrip(Handled)
 	for d := range DestinationID(10) {
@@ -612,6 +618,7 @@
 	trace.accept(1, NoticeTaken{Destination: 2, Grade: 2, Room: 0.1})
 }
 
+// The notices for destination 2, which is healthy, only wait for a free slot.
 func TestNearlyFullHoldKeepsSendableNotices(t *testing.T) {
 	settings := testSettings()
 	settings.HoldLimit, settings.WholeGoal, settings.Slots = 10, 1, 2
