--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -25,217 +25,225 @@
 	"golang.org/x/sys/unix"
 )
 
-// Start makes the command that starts a sender by a configuration file and a lasting folder.
-type Start func(config, state string) *exec.Cmd
+// Start makes the command that starts a sender with a configuration file and a state directory.
+type Start func(configPath, stateDir string) *exec.Cmd
 
-// Serve starts chuteweir itself, at a log level.
+// Serve returns a Start for chuteweir itself, which logs at the given level.
 func Serve(program, level string) Start {
-	return func(config, state string) *exec.Cmd {
-		return exec.Command(program, "serve", "--log-format", "json", "--log-level", level, "--state", state, config)
+	return func(configPath, stateDir string) *exec.Cmd {
+		return exec.Command(program, "serve", "--log-format", "json", "--log-level", level, "--state", stateDir,
+			configPath)
 	}
 }
 
-// Relay starts the plain relay that senders are compared with.
+// Relay returns a Start for the plain relay that serves as the baseline of comparisons.
 func Relay(program string) Start {
-	return func(config, _ string) *exec.Cmd { return exec.Command(program, "relay", config) }
+	return func(configPath, _ string) *exec.Cmd { return exec.Command(program, "relay", configPath) }
 }
 
-// Turn is a change of a breaker, as a sender logged it.
-type Turn struct {
-	At          rules.Millis `json:"at"`
+// BreakerChange is a change of a breaker's state, as a sender logged it.
+type BreakerChange struct {
+	At          rules.Millis `json:"at"` // when the log line was read
 	Sender      int          `json:"sender"`
 	Destination int          `json:"destination"`
 	State       string       `json:"state"`
 	Why         string       `json:"why"`
 }
 
-// Sender is a process under trial.
+// Sender runs one sender of the scenario: a process, and those that replace it after a restart.
 type Sender struct {
-	number                       int
-	stage                        *standin.Stage
-	start                        Start
-	config                       config.Config
-	folder, path, state, address string
+	number                             int
+	stage                              *standin.Stage
+	start                              Start
+	config                             config.Config
+	dir, configPath, stateDir, address string
 
-	changing sync.Mutex // held from the end of one process until the next one serves
+	restartMu sync.Mutex // held from the end of one process until the next one is ready
 
-	mu       sync.Mutex
-	command  *exec.Cmd
-	exited   chan struct{}
-	away     bool // ended by us
-	orderly  bool // it answers SIGTERM by leaving
-	turns    []Turn
-	crashes  []string
-	last     []string // lines of its log
-	peakRSS  int64
-	startRSS int64
-	peakFDs  int
-	cpu      time.Duration // of processes that have ended
+	mu             sync.Mutex
+	command        *exec.Cmd
+	exited         chan struct{}
+	stopRequested  bool // the process was sent SIGTERM or SIGKILL, so its exit is expected
+	exitsCleanly   bool // after SIGTERM it must exit with status 0
+	breakerChanges []BreakerChange
+	problems       []string // reported as breaches: unexpected exits, data races, undeclared log events
+	recentLog      []string // last lines of its log, for failure messages
+	peakRSS        int64
+	startRSS       int64
+	peakFDs        int
+	exitedCPU      time.Duration // processor time of the processes that have exited
 }
 
-func newSender(number int, stage *standin.Stage, start Start, c config.Config, folder string) (*Sender, error) {
-	s := &Sender{number: number, stage: stage, start: start, config: c, folder: folder, address: c.Listen, orderly: true,
-		path: filepath.Join(folder, "config.json"), state: filepath.Join(folder, "state")}
-	if err := os.MkdirAll(s.state, 0o700); err != nil {
-		return nil, fmt.Errorf("making a sender's folder: %w", err)
+// newSender prepares a sender's state directory and configuration; launch starts its process.
+func newSender(number int, stage *standin.Stage, start Start, senderConfig config.Config, dir string) (*Sender, error) {
+	s := &Sender{number: number, stage: stage, start: start, config: senderConfig, dir: dir,
+		address: senderConfig.Listen, exitsCleanly: true,
+		configPath: filepath.Join(dir, "config.json"), stateDir: filepath.Join(dir, "state")}
+	if err := os.MkdirAll(s.stateDir, 0o700); err != nil {
+		return nil, fmt.Errorf("create the state directory of a sender: %w", err)
 	}
-	return s, s.configure()
+	return s, s.writeConfig()
 }
 
-// configure writes the configuration that is good.
-func (s *Sender) configure() error {
+// writeConfig writes the sender's valid configuration, which replaces a malformed one that a fault has written.
+func (s *Sender) writeConfig() error {
 	text, err := s.config.Platform()
 	if err != nil {
-		return fmt.Errorf("writing a sender's configuration: %w", err)
+		return fmt.Errorf("encode the configuration of a sender: %w", err)
 	}
-	return os.WriteFile(s.path, text, 0o600)
+	return os.WriteFile(s.configPath, text, 0o600)
 }
 
-// launch starts the process and waits until it serves.
-func (s *Sender) launch(known directory.List) error {
-	s.config.Known = known
-	if err := s.configure(); err != nil {
+// launch starts the process and waits up to 15 s until it answers GET /up with 200.
+func (s *Sender) launch(knownReceivers directory.List) error {
+	s.config.Known = knownReceivers
+	if err := s.writeConfig(); err != nil {
 		return err
 	}
-	command := s.start(s.path, s.state)
-	out, err := os.OpenFile(filepath.Join(s.folder, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	command := s.start(s.configPath, s.stateDir)
+	logFile, err := os.OpenFile(filepath.Join(s.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fmt.Errorf("opening a sender's log: %w", err)
+		return fmt.Errorf("open the log of a sender: %w", err)
 	}
-	lines, err := command.StderrPipe()
+	stderr, err := command.StderrPipe()
 	if err != nil {
 		return err
 	}
 	if err := command.Start(); err != nil {
-		return fmt.Errorf("starting a sender: %w", err)
+		return fmt.Errorf("start the process of a sender: %w", err)
 	}
 	exited := make(chan struct{})
 	s.mu.Lock()
-	s.command, s.exited, s.away = command, exited, false
+	s.command, s.exited, s.stopRequested = command, exited, false
 	s.mu.Unlock()
 	go func() {
-		s.read(lines, out)
-		out.Close()
+		s.readLog(stderr, logFile)
+		logFile.Close()
 		err := command.Wait()
 		s.mu.Lock()
 		if state := command.ProcessState; state != nil {
-			s.cpu += state.UserTime() + state.SystemTime()
+			s.exitedCPU += state.UserTime() + state.SystemTime()
 		}
-		if !s.away {
-			s.crashes = append(s.crashes, fmt.Sprintf("sender %d ended by itself at %.0f: %v\n%s", s.number, s.stage.Clock.Now(), err,
-				strings.Join(s.last, "\n")))
+		if !s.stopRequested {
+			s.problems = append(s.problems, fmt.Sprintf("sender %d exited unexpectedly at %.0f ms: %v\n%s", s.number,
+				s.stage.Clock.Now(), err, strings.Join(s.recentLog, "\n")))
 		}
 		s.mu.Unlock()
 		close(exited)
 	}()
 	client := &http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
-	for began := time.Now(); time.Since(began) < 15*time.Second; time.Sleep(5 * time.Millisecond) {
+	for startedAt := time.Now(); time.Since(startedAt) < 15*time.Second; time.Sleep(5 * time.Millisecond) {
 		select {
 		case <-exited:
-			return fmt.Errorf("sender %d ended before it served: %s", s.number, s.lastLines())
+			return fmt.Errorf("sender %d exited before it was ready: %s", s.number, s.logTail())
 		default:
 		}
-		answer, err := client.Get("http://" + s.address + "/up")
+		response, err := client.Get("http://" + s.address + "/up")
 		if err != nil {
 			continue
 		}
-		answer.Body.Close()
-		if answer.StatusCode == 200 {
+		response.Body.Close()
+		if response.StatusCode == 200 {
 			s.stage.Record.Life(audit.Life{Sender: s.number, What: "ready", At: s.stage.Clock.Now()})
-			if rss, _, err := usage(command.Process.Pid); err == nil && s.startRSS == 0 {
+			if rss, _, err := processUsage(command.Process.Pid); err == nil && s.startRSS == 0 {
 				s.startRSS = rss
 			}
 			return nil
 		}
 	}
-	return fmt.Errorf("sender %d does not serve: %s", s.number, s.lastLines())
+	return fmt.Errorf("sender %d is not ready after 15 s: %s", s.number, s.logTail())
 }
 
-// lastLines is the end of the sender's log.
-func (s *Sender) lastLines() string {
+// logTail returns the last lines of the sender's log.
+func (s *Sender) logTail() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return strings.Join(s.last, "\n")
+	return strings.Join(s.recentLog, "\n")
 }
 
-// read keeps the log and takes the breakers' changes out of it.
-func (s *Sender) read(lines io.Reader, out io.Writer) {
-	in := bufio.NewScanner(lines)
-	in.Buffer(nil, 1<<20)
-	for in.Scan() {
-		fmt.Fprintln(out, in.Text())
+// readLog copies the process's log to a file. It collects the breaker changes in it, and reports as problems data races
+// and events or keys that the documentation of the logs does not list.
+func (s *Sender) readLog(stderr io.Reader, logFile io.Writer) {
+	scanner := bufio.NewScanner(stderr)
+	scanner.Buffer(nil, 1<<20)
+	for scanner.Scan() {
+		fmt.Fprintln(logFile, scanner.Text())
 		var line struct {
 			Message     string `json:"msg"`
 			Destination int    `json:"destination"`
 			State       string `json:"state"`
 			Why         string `json:"why"`
 		}
-		err := json.Unmarshal(in.Bytes(), &line)
-		var all map[string]any
-		unlisted := ""
-		if json.Unmarshal(in.Bytes(), &all) == nil && line.Message != "" {
-			unlisted = logs.Unlisted(all)
+		err := json.Unmarshal(scanner.Bytes(), &line)
+		var fields map[string]any
+		undeclared := ""
+		if json.Unmarshal(scanner.Bytes(), &fields) == nil && line.Message != "" {
+			undeclared = logs.Unlisted(fields)
 		}
 		s.mu.Lock()
-		if unlisted != "" {
-			s.crashes = append(s.crashes, "the log has what docs/logs.md does not list: "+unlisted)
+		if undeclared != "" {
+			s.problems = append(s.problems, "the log has an event or key that docs/logs.md does not list: "+undeclared)
 		}
-		if s.last = append(s.last, in.Text()); len(s.last) > 30 {
-			s.last = s.last[1:]
+		if s.recentLog = append(s.recentLog, scanner.Text()); len(s.recentLog) > 30 {
+			s.recentLog = s.recentLog[1:]
 		}
-		if strings.Contains(in.Text(), "DATA RACE") {
-			s.crashes = append(s.crashes, "a race in the sender; its log has both sides")
+		if strings.Contains(scanner.Text(), "DATA RACE") {
+			s.problems = append(s.problems, "data race in the sender; its log shows both accesses")
 		}
 		if err == nil && line.Message == logs.Breaker {
-			s.turns = append(s.turns, Turn{s.stage.Clock.Now(), s.number, line.Destination, line.State, line.Why})
+			s.breakerChanges = append(s.breakerChanges,
+				BreakerChange{s.stage.Clock.Now(), s.number, line.Destination, line.State, line.Why})
 		}
 		s.mu.Unlock()
 	}
 }
 
+// signal sends a signal to the process.
 func (s *Sender) signal(sig syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		s.away = true
+		s.stopRequested = true
 	}
 	if s.command != nil && s.command.Process != nil {
 		s.command.Process.Signal(sig)
 	}
 }
 
-func (s *Sender) life(what string) {
-	s.stage.Record.Life(audit.Life{Sender: s.number, What: what, At: s.stage.Clock.Now()})
+// recordState notes a change of the sender's state in the audit record.
+func (s *Sender) recordState(state string) {
+	s.stage.Record.Life(audit.Life{Sender: s.number, What: state, At: s.stage.Clock.Now()})
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL.
 func (s *Sender) kill() {
-	s.sample()
-	s.life("killed")
+	s.sampleUsage()
+	s.recordState("killed")
 	s.signal(syscall.SIGKILL)
 	<-s.exited
 }
 
-// leave tells it to leave, and kills it if it does not in time.
-func (s *Sender) leave() error {
-	s.sample()
-	s.life("leaving")
+// shutdown sends SIGTERM, and kills the process if it has not exited within 4 s.
+func (s *Sender) shutdown() error {
+	s.sampleUsage()
+	s.recordState("leaving")
 	s.signal(syscall.SIGTERM)
 	select {
 	case <-s.exited:
-		if state := s.command.ProcessState; state != nil && state.ExitCode() != 0 && s.orderly {
-			return fmt.Errorf("sender %d left with status %d: %s", s.number, state.ExitCode(), strings.Join(s.last, "\n"))
+		if state := s.command.ProcessState; state != nil && state.ExitCode() != 0 && s.exitsCleanly {
+			return fmt.Errorf("sender %d: expected exit status 0 after SIGTERM, got %d: %s", s.number, state.ExitCode(),
+				strings.Join(s.recentLog, "\n"))
 		}
 		return nil
 	case <-time.After(4 * time.Second):
 		s.signal(syscall.SIGKILL)
 		<-s.exited
-		return fmt.Errorf("sender %d did not leave within 4 s", s.number)
+		return fmt.Errorf("sender %d did not exit within 4 s of SIGTERM", s.number)
 	}
 }
 
-// running tells whether its process has not ended; s.mu is held.
-func (s *Sender) running() bool {
+// isRunning reports whether a process has been started and has not exited. The caller holds s.mu.
+func (s *Sender) isRunning() bool {
 	if s.exited == nil {
 		return false
 	}
@@ -247,65 +255,67 @@
 	}
 }
 
-// sample looks at what the process takes.
-func (s *Sender) sample() {
+// sampleUsage updates the peaks of the process's memory and open descriptors.
+func (s *Sender) sampleUsage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.running() {
+	if !s.isRunning() {
 		return
 	}
-	rss, fds, err := usage(s.command.Process.Pid)
+	rss, fds, err := processUsage(s.command.Process.Pid)
 	if err == nil {
 		s.peakRSS, s.peakFDs = max(s.peakRSS, rss), max(s.peakFDs, fds)
 	}
 }
 
-// used is the processor time of all its processes so far.
-func (s *Sender) used() time.Duration {
+// cpuTime returns the processor time that all of the sender's processes have used so far.
+func (s *Sender) cpuTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	used := s.cpu
-	if s.running() {
-		used += cpuOf(s.command.Process.Pid)
+	total := s.exitedCPU
+	if s.isRunning() {
+		total += processCPU(s.command.Process.Pid)
 	}
-	return used
+	return total
 }
 
-// limitFiles lets the process open only so many descriptors more than it holds; below 0: as many as ever.
-func (s *Sender) limitFiles(more int) error {
+// limitFiles lets the process open at most extra descriptors beyond those it has open. If extra is negative, it raises
+// the limit to the hard limit again.
+func (s *Sender) limitFiles(extra int) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.running() {
+	if !s.isRunning() {
 		return nil
 	}
 	pid := s.command.Process.Pid
 	var limit unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
-		return fmt.Errorf("reading a sender's limit of descriptors: %w", err)
+		return fmt.Errorf("read the descriptor limit of a sender: %w", err)
 	}
-	if limit.Cur = limit.Max; more >= 0 {
-		_, held, err := usage(pid)
+	if limit.Cur = limit.Max; extra >= 0 {
+		_, openFDs, err := processUsage(pid)
 		if err != nil {
-			return fmt.Errorf("counting a sender's descriptors: %w", err)
+			return fmt.Errorf("count the open descriptors of a sender: %w", err)
 		}
-		limit.Cur = uint64(held + more)
+		limit.Cur = uint64(openFDs + extra)
 	}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
-		return fmt.Errorf("limiting a sender's descriptors: %w", err)
+		return fmt.Errorf("set the descriptor limit of a sender: %w", err)
 	}
 	return nil
 }
 
-// counter asks the sender for one of its counters; a sender that is away, or a program that has none, tells nothing.
-func (s *Sender) counter(name string) (value int, told bool) {
+// counter reads one of the sender's counters over HTTP. known is false if the sender does not respond or has no such
+// counter, as a program other than chuteweir.
+func (s *Sender) counter(name string) (value int, known bool) {
 	client := &http.Client{Timeout: 100 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Get("http://" + s.address + "/counters")
+	response, err := client.Get("http://" + s.address + "/counters")
 	if err != nil {
 		return 0, false
 	}
-	defer answer.Body.Close()
-	for in := bufio.NewScanner(io.LimitReader(answer.Body, 64<<10)); in.Scan(); {
-		if text, found := strings.CutPrefix(in.Text(), "chuteweir_"+name+" "); found {
+	defer response.Body.Close()
+	for scanner := bufio.NewScanner(io.LimitReader(response.Body, 64<<10)); scanner.Scan(); {
+		if text, found := strings.CutPrefix(scanner.Text(), "chuteweir_"+name+" "); found {
 			value, err := strconv.Atoi(text)
 			return value, err == nil
 		}
@@ -313,8 +323,9 @@
 	return 0, false
 }
 
-// usage is a process's resident memory in bytes and its descriptors.
-func usage(pid int) (rss int64, fds int, err error) {
+// processUsage returns a process's resident memory in bytes and the number of its open descriptors, which is 0 without
+// the permission to read them.
+func processUsage(pid int) (rss int64, fds int, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, 0, err
@@ -335,8 +346,9 @@
 	return rss, len(entries), nil
 }
 
-// cpuOf is a running process's processor time; the kernel counts it in hundredths of a second.
-func cpuOf(pid int) time.Duration {
+// processCPU returns the processor time that a running process has used. The kernel counts it in hundredths of a
+// second.
+func processCPU(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
--- a/internal/trial/sick.go
+++ b/internal/trial/sick.go
@@ -7,65 +7,73 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Trouble is what a run shows of how destinations that are sick weigh on a sender and on those that are well.
+// Trouble measures what the failing destinations of a run cost the senders and the healthy destinations.
 type Trouble struct {
-	At         []rules.Millis `json:"at"`
-	SlotsShare []float64      `json:"slots_share"` // of all senders' slots, held by calls to sick destinations; by At
-	MostSlots  float64        `json:"most_slots"`
-	Further    float64        `json:"further"` // calls for a notice beyond its first, for each notice wanted
-	Load       []float64      `json:"load"`    // calls that reached the sick, for each notice wanted of them in the mean; by At
-	MostLoad   float64        `json:"most_load"`
+	At         []rules.Millis `json:"at"`          // times of the samples
+	SlotsShare []float64      `json:"slots_share"` // part of all slots that calls to failing destinations hold, by At
+	MostSlots  float64        `json:"most_slots"`  // highest of SlotsShare
+	Further    float64        `json:"further"`     // calls beyond each notice's first, for each wanted notice
+	// Load is the number of calls that reached failing destinations within loadWindow, relative to the mean number of
+	// their wanted notices in that time, by At.
+	Load     []float64 `json:"load"`
+	MostLoad float64   `json:"most_load"` // highest of Load
 }
 
-// loadSpan is over how long the load of the sick is counted: shorter, and chance makes peaks.
-const loadSpan = 500
+// loadWindow is the duration in milliseconds over which the load of failing destinations is counted. Over a shorter
+// duration random variation produces peaks.
+const loadWindow = 500
 
-// Trouble reads the run. Slots come from the senders' own count of calls out less what the gateways that are well saw
-// open at that time: connections that never come up reach no gateway. A program without that count tells none.
-func (r *Result) Trouble(sick func(destination int) bool) Trouble {
-	var t Trouble
-	var well, at []rules.Millis // beginnings and ends of calls at the well; beginnings at the sick
-	var ends []rules.Millis
+// Trouble computes what the destinations for which failing returns true cost. The slots that they hold are the
+// outstanding calls that the senders report, less the calls that healthy gateways saw open at that time. The failing
+// gateways cannot count their own, because a connection that is never established does not reach them. For a program
+// that reports no outstanding calls, the share is 0.
+func (r *Result) Trouble(failing func(destination int) bool) Trouble {
+	var impact Trouble
+	var healthyStarts, failingStarts []rules.Millis // starts of calls at healthy destinations; starts at failing ones
+	var healthyEnds []rules.Millis
 	for i := range r.View.Calls {
-		c := &r.View.Calls[i]
-		if sick(c.Dest) {
-			at = append(at, c.First)
+		call := &r.View.Calls[i]
+		if failing(call.Dest) {
+			failingStarts = append(failingStarts, call.First)
 			continue
 		}
-		well = append(well, c.First)
-		if over := c.Over(); over < math.MaxFloat64 {
-			ends = append(ends, over)
+		healthyStarts = append(healthyStarts, call.First)
+		if endedAt := call.Over(); endedAt < math.MaxFloat64 {
+			healthyEnds = append(healthyEnds, endedAt)
 		}
 	}
-	slices.Sort(well)
-	slices.Sort(ends)
-	slices.Sort(at)
-	before := func(times []rules.Millis, t rules.Millis) int {
-		n, _ := slices.BinarySearch(times, t)
-		return n
+	slices.Sort(healthyStarts)
+	slices.Sort(healthyEnds)
+	slices.Sort(failingStarts)
+	countBefore := func(times []rules.Millis, limit rules.Millis) int {
+		count, _ := slices.BinarySearch(times, limit)
+		return count
 	}
-	wanted := 0
-	seen := map[string]bool{}
+	failingNotices := 0
+	counted := map[string]bool{}
 	for i := range r.View.Hands {
-		if h := &r.View.Hands[i]; sick(h.Dest) && !seen[h.Effect] {
-			seen[h.Effect] = true
-			wanted++
+		if submission := &r.View.Hands[i]; failing(submission.Dest) && !counted[submission.Effect] {
+			counted[submission.Effect] = true
+			failingNotices++
 		}
 	}
-	slots := float64(r.World.Settings.Slots * r.Senders)
-	each := float64(wanted) / float64(r.World.Length) * loadSpan
-	for _, p := range r.Held {
-		if p.At < 0 {
+	totalSlots := float64(r.World.Settings.Slots * r.Senders)
+	meanPerWindow := float64(failingNotices) / float64(r.World.Length) * loadWindow
+	for _, sample := range r.Held {
+		if sample.At < 0 {
 			continue
 		}
-		share := max(float64(p.Out-(before(well, p.At)-before(ends, p.At)))/slots, 0)
+		share := max(float64(sample.Outstanding-
+			(countBefore(healthyStarts, sample.At)-countBefore(healthyEnds, sample.At)))/totalSlots, 0)
 		load := 0.0
-		if each > 0 {
-			load = float64(before(at, p.At)-before(at, p.At-loadSpan)) / each
+		if meanPerWindow > 0 {
+			load = float64(countBefore(failingStarts, sample.At)-
+				countBefore(failingStarts, sample.At-loadWindow)) / meanPerWindow
 		}
-		t.At, t.SlotsShare, t.Load = append(t.At, p.At), append(t.SlotsShare, share), append(t.Load, load)
-		t.MostSlots, t.MostLoad = max(t.MostSlots, share), max(t.MostLoad, load)
+		impact.At, impact.SlotsShare, impact.Load = append(impact.At, sample.At), append(impact.SlotsShare, share),
+			append(impact.Load, load)
+		impact.MostSlots, impact.MostLoad = max(impact.MostSlots, share), max(impact.MostLoad, load)
 	}
-	t.Further = float64(r.Further) / float64(max(r.All.Asked, 1))
-	return t
+	impact.Further = float64(r.Further) / float64(max(r.All.Asked, 1))
+	return impact
 }
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -1,5 +1,5 @@
-// Package trial plays a scenario against real sender processes among stand-ins on loopback sockets, has the record
-// audited, and sums up how it went.
+// Package trial runs a scenario against real sender processes. Stand-ins on loopback sockets act as the clients, the
+// gateways and the platform; the record of what they saw is audited and summarized in a Result.
 package trial
 
 import (
@@ -22,215 +22,225 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Options is what to play, and against what.
+// Options selects the scenario of a run and the senders that it runs against.
 type Options struct {
 	Scenario *scenario.Scenario
-	Start    Start
-	Keep     string         // folder for configurations, ledgers and logs; empty: none are kept
-	Progress func(Progress) // told a few times a second
-	// Targets are senders that run already, in place of those that a run starts: they must ask the platform at Platform.
+	Start    Start          // makes the command of each sender process
+	Keep     string         // directory for configurations, ledgers and logs; if empty, they are deleted after the run
+	Progress func(Progress) // if set, called about four times a second
+	// Targets holds the addresses of senders that are running already; the run starts none of its own then. They must
+	// use the platform at the address Platform.
 	Targets  []string
 	Platform string
-	PID      int // of the process whose processor time and memory count, with Targets
-	// CPUFrom is the time in the scenario from which on processor time counts, and the notices that it is shared by.
+	PID      int // with Targets: the process whose processor time and memory are measured
+	// CPUFrom is the scenario time at which the measurement of processor time per notice begins. Processor time used
+	// and notices due before it are left out.
 	CPUFrom rules.Millis
-	// Sick tells which destinations count as sick in the result; nil: those that a fault strikes.
-	Sick    func(destination int) bool
+	// Sick reports whether the result counts a destination as failing. If nil, a destination is failing if a fault of
+	// the scenario affects it.
+	Sick func(destination int) bool
+	// Prepare, if set, is called with the stand-ins before any sender starts.
 	Prepare func(*standin.Stage, *standin.Gateways, *standin.Platform)
 }
 
-// Progress is how far a run has come.
+// Progress reports how far a run has advanced.
 type Progress struct {
-	At, Length rules.Millis
-	Offered    int
-	Open       int // taken on and not over
+	At, Length rules.Millis // current time and length of the scenario
+	Offered    int          // notices submitted
+	Open       int          // notices accepted that have no final outcome yet
 }
 
-// Run plays a scenario. An error means that it could not be played; what went wrong in it is in the result.
-func Run(ctx context.Context, o Options) (*Result, error) {
-	w := scenario.Lay(o.Scenario)
-	folder := o.Keep
-	if folder == "" {
+// Run runs a scenario. It returns an error only if the scenario could not be run; faults of the senders are breaches in
+// the result.
+func Run(ctx context.Context, options Options) (*Result, error) {
+	world := scenario.Lay(options.Scenario)
+	dir := options.Keep
+	if dir == "" {
 		var err error
-		if folder, err = os.MkdirTemp("", "chuteweir-try"); err != nil {
-			return nil, fmt.Errorf("making a folder for the run: %w", err)
+		if dir, err = os.MkdirTemp("", "chuteweir-try"); err != nil {
+			return nil, fmt.Errorf("create a directory for the run: %w", err)
 		}
-		defer os.RemoveAll(folder)
+		defer os.RemoveAll(dir)
 	}
-	stage := standin.NewStage(w)
+	stage := standin.NewStage(world)
 	defer stage.Close()
 	gateways, err := standin.NewGateways(stage)
 	if err != nil {
 		return nil, err
 	}
-	platform, err := standin.NewPlatform(stage, gateways, w.Senders)
+	platform, err := standin.NewPlatform(stage, gateways, world.Senders)
 	if err != nil {
 		return nil, err
 	}
-	if o.Prepare != nil {
-		o.Prepare(stage, gateways, platform)
+	if options.Prepare != nil {
+		options.Prepare(stage, gateways, platform)
 	}
-	t := &trial{Options: o, stage: stage, platform: platform}
-	defer t.killAll()
+	current := &trial{Options: options, stage: stage, platform: platform}
+	defer current.killAll()
 	var addresses []string
-	if len(o.Targets) > 0 {
-		if w.Senders = len(o.Targets); o.Platform == "" {
-			return nil, errors.New("senders that run already need a platform at an address that they know")
+	if len(options.Targets) > 0 {
+		if world.Senders = len(options.Targets); options.Platform == "" {
+			return nil, errors.New("targets are given, but not the platform address that they are configured with")
 		}
-		if err := platform.Listen(0, o.Platform); err != nil {
+		if err := platform.Listen(0, options.Platform); err != nil {
 			return nil, err
 		}
-		addresses = o.Targets
-		if err := awaitTargets(ctx, o.Targets); err != nil {
+		addresses = options.Targets
+		if err := awaitTargets(ctx, options.Targets); err != nil {
 			return nil, err
 		}
 	}
-	for i := range w.Senders - len(o.Targets) {
-		c := config.Config{Name: fmt.Sprintf("n%d", i), Listen: stage.Free(), Discovery: platform.Address(i),
-			Seed: scenario.Chance(w.Seed, 1<<42+uint64(i)).Uint64(), Machine: w.Machine, Settings: w.Settings, Names: w.Names}
-		s, err := newSender(i, stage, o.Start, c, filepath.Join(folder, c.Name))
+	for i := range world.Senders - len(options.Targets) {
+		senderConfig := config.Config{Name: fmt.Sprintf("n%d", i), Listen: stage.Free(), Discovery: platform.Address(i),
+			Seed: scenario.Chance(world.Seed, 1<<42+uint64(i)).Uint64(), Machine: world.Machine,
+			Settings: world.Settings, Names: world.Names}
+		sender, err := newSender(i, stage, options.Start, senderConfig, filepath.Join(dir, senderConfig.Name))
 		if err != nil {
 			return nil, err
 		}
-		t.senders = append(t.senders, s)
-		addresses = append(addresses, c.Listen)
+		current.senders = append(current.senders, sender)
+		addresses = append(addresses, senderConfig.Listen)
 	}
-	for _, s := range t.senders {
+	for _, s := range current.senders {
 		if err := s.launch(platform.List()); err != nil {
 			return nil, err
 		}
 	}
-	t.clients = standin.NewClients(stage, addresses)
-	platform.Ended = func(_ int, e directory.End) { t.clients.Ended(e) }
-	answers := hdrhistogram.New(1, 120_000_000, 3)
-	var mu sync.Mutex
-	t.clients.Answer = func(status int, took rules.Millis) {
-		mu.Lock()
-		defer mu.Unlock()
+	current.clients = standin.NewClients(stage, addresses)
+	platform.Ended = func(_ int, e directory.End) { current.clients.Ended(e) }
+	responseTimes := hdrhistogram.New(1, 120_000_000, 3)
+	var responseTimesMu sync.Mutex
+	current.clients.Answer = func(status int, duration rules.Millis) {
+		responseTimesMu.Lock()
+		defer responseTimesMu.Unlock()
 		if status > 0 {
-			answers.RecordValue(max(int64(took*1000), 1))
+			responseTimes.RecordValue(max(int64(duration*1000), 1))
 		}
 	}
-	stop := context.AfterFunc(ctx, stage.Close)
-	defer stop()
-	t.usedBefore = t.used()
-	began := time.Now()
+	stopWatchingContext := context.AfterFunc(ctx, stage.Close)
+	defer stopWatchingContext()
+	current.uncountedCPU = current.cpuTime()
+	startedAt := time.Now()
 	stage.Clock.Begin()
-	if o.CPUFrom > 0 {
+	if options.CPUFrom > 0 {
 		go func() {
-			if stage.At(o.CPUFrom) {
-				t.mu.Lock()
-				defer t.mu.Unlock()
-				t.usedBefore = t.used()
+			if stage.At(options.CPUFrom) {
+				current.mu.Lock()
+				defer current.mu.Unlock()
+				current.uncountedCPU = current.cpuTime()
 			}
 		}()
 	}
-	watched := make(chan struct{})
-	go func() { t.watch(); close(watched) }()
-	var scripts sync.WaitGroup
-	for i, f := range w.Faults {
-		for _, n := range w.Struck[i] {
-			scripts.Add(1)
-			go func() { defer scripts.Done(); t.strike(t.senders[n], f) }()
+	monitorDone := make(chan struct{})
+	go func() { current.monitor(); close(monitorDone) }()
+	var faultScripts sync.WaitGroup
+	for i, fault := range world.Faults {
+		for _, number := range world.Struck[i] {
+			faultScripts.Add(1)
+			go func() { defer faultScripts.Done(); current.applyFault(current.senders[number], fault) }()
 		}
 	}
-	t.clients.Run()
-	handed := time.Since(began)
-	scripts.Wait()
-	for until := w.Length + w.Settle; stage.Clock.Now() < until && stage.Record.Open() > 0 && ctx.Err() == nil; {
+	current.clients.Run()
+	submitDuration := time.Since(startedAt)
+	faultScripts.Wait()
+	for deadline := world.Length + world.Settle; stage.Clock.Now() < deadline &&
+		stage.Record.Open() > 0 && ctx.Err() == nil; {
 		time.Sleep(20 * time.Millisecond)
 	}
 	if ctx.Err() != nil {
-		return nil, fmt.Errorf("playing %s: %w", w.Name, ctx.Err())
+		return nil, fmt.Errorf("run scenario %q: %w", world.Name, ctx.Err())
 	}
-	used := t.used()
-	for _, s := range t.senders {
-		s.sample()
+	cpuTime := current.cpuTime()
+	for _, s := range current.senders {
+		s.sampleUsage()
 	}
-	t.clients.Quit()
-	var leaving sync.WaitGroup
-	for _, s := range t.senders {
-		leaving.Add(1)
+	current.clients.Quit()
+	var shutdowns sync.WaitGroup
+	for _, s := range current.senders {
+		shutdowns.Add(1)
 		go func() {
-			defer leaving.Done()
-			if err := s.leave(); err != nil {
-				t.fault(err)
+			defer shutdowns.Done()
+			if err := s.shutdown(); err != nil {
+				current.addError(err)
 			}
 		}()
 	}
-	leaving.Wait()
-	until := stage.Clock.Now()
+	shutdowns.Wait()
+	endedAt := stage.Clock.Now()
 	stage.Close()
-	<-watched
-	mu.Lock()
-	defer mu.Unlock()
-	return t.result(answers, handed, used-t.usedBefore, until), nil
+	<-monitorDone
+	responseTimesMu.Lock()
+	defer responseTimesMu.Unlock()
+	return current.result(responseTimes, submitDuration, cpuTime-current.uncountedCPU, endedAt), nil
 }
 
+// trial is the state of one run.
 type trial struct {
 	Options
-	stage    *standin.Stage
-	platform *standin.Platform
-	clients  *standin.Clients
-	senders  []*Sender
-	mu       sync.Mutex
-	faults   []error
-	held     []Point
-	// usedBefore is the processor time that does not count.
-	usedBefore time.Duration
-	rss        int64 // of PID
-	fds        int
+	stage       *standin.Stage
+	platform    *standin.Platform
+	clients     *standin.Clients
+	senders     []*Sender
+	mu          sync.Mutex // guards the fields below
+	runErrors   []error    // errors of the run, reported as breaches
+	heldSamples []HeldSample
+	// uncountedCPU is the processor time used before the measurement began.
+	uncountedCPU time.Duration
+	peakRSS      int64 // of PID
+	peakFDs      int
 }
 
-// Point is how much was held at a time, and how many calls the senders said were out.
-type Point struct {
-	At   rules.Millis `json:"at"`
-	Open int          `json:"open"`
-	Out  int          `json:"out"`
+// HeldSample is the number of notices that the senders held at a time, and the number of outstanding calls that they
+// reported in their counters.
+type HeldSample struct {
+	At          rules.Millis `json:"at"`
+	Open        int          `json:"open"`
+	Outstanding int          `json:"out"`
 }
 
-// used is the processor time of all senders so far.
-func (t *trial) used() time.Duration {
+// cpuTime returns the processor time that all senders, or the process PID, have used so far.
+func (t *trial) cpuTime() time.Duration {
 	if t.PID > 0 {
-		return cpuOf(t.PID)
+		return processCPU(t.PID)
 	}
-	var used time.Duration
+	var total time.Duration
 	for _, s := range t.senders {
-		used += s.used()
+		total += s.cpuTime()
 	}
-	return used
+	return total
 }
 
-// awaitTargets waits until senders that run already serve.
+// awaitTargets waits until each of the running senders answers GET /up with 200.
 func awaitTargets(ctx context.Context, targets []string) error {
 	for _, address := range targets {
-		last := error(nil)
-		for began := time.Now(); ; {
-			answer, err := http.Get("http://" + address + "/up")
+		lastErr := error(nil)
+		for startedAt := time.Now(); ; {
+			response, err := http.Get("http://" + address + "/up")
 			if err == nil {
-				answer.Body.Close()
-				if answer.StatusCode == 200 {
+				response.Body.Close()
+				if response.StatusCode == 200 {
 					break
 				}
-				err = fmt.Errorf("/up answers %d", answer.StatusCode)
+				err = fmt.Errorf("GET /up: expected status 200, got %d", response.StatusCode)
 			}
-			if last = err; time.Since(began) > 5*time.Second || ctx.Err() != nil {
-				return fmt.Errorf("sender at %s does not serve: %w", address, last)
+			if lastErr = err; time.Since(startedAt) > 5*time.Second || ctx.Err() != nil {
+				return fmt.Errorf("sender at %s is not ready: %w", address, lastErr)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	time.Sleep(500 * time.Millisecond) // its watch begins
+	time.Sleep(500 * time.Millisecond) // the senders subscribe to the receiver list
 	return nil
 }
 
-func (t *trial) fault(err error) {
+// addError records an error of the run, which the result reports as a breach.
+func (t *trial) addError(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.faults = append(t.faults, err)
+	t.runErrors = append(t.runErrors, err)
 }
 
-// killAll is for runs that are broken off.
+// killAll kills the senders that still run, when a run ends early.
 func (t *trial) killAll() {
 	for _, s := range t.senders {
 		if s.command == nil {
@@ -245,25 +255,25 @@
 	}
 }
 
-// watch samples what the senders take, and tells the progress.
-func (t *trial) watch() {
+// monitor samples the senders' resource usage and counters and reports the progress, until the run ends.
+func (t *trial) monitor() {
 	for {
 		now := t.stage.Clock.Now()
 		open := t.stage.Record.Open()
-		out := 0
+		outstanding := 0
 		for _, s := range t.senders {
-			s.sample()
-			if n, told := s.counter("out"); told {
-				out += n
+			s.sampleUsage()
+			if count, known := s.counter("out"); known {
+				outstanding += count
 			}
 		}
 		t.mu.Lock()
-		t.held = append(t.held, Point{now, open, out})
+		t.heldSamples = append(t.heldSamples, HeldSample{now, open, outstanding})
 		t.mu.Unlock()
 		if t.PID > 0 {
-			if rss, fds, err := usage(t.PID); err == nil {
+			if rss, fds, err := processUsage(t.PID); err == nil {
 				t.mu.Lock()
-				t.rss, t.fds = max(t.rss, rss), max(t.fds, fds)
+				t.peakRSS, t.peakFDs = max(t.peakRSS, rss), max(t.peakFDs, fds)
 				t.mu.Unlock()
 			}
 		}
@@ -280,87 +290,92 @@
 	}
 }
 
-// restart ends a sender's process and starts another one. A fault that comes before that serves waits for it.
-func (t *trial) restart(s *Sender, f scenario.Fault) {
-	s.changing.Lock()
-	defer s.changing.Unlock()
-	if f.Kind == scenario.Kill {
+// restart ends a sender's process, by SIGKILL or SIGTERM according to the fault, and starts a new one when the fault
+// ends. Another kill or stop of the same sender waits until the new process is ready.
+func (t *trial) restart(s *Sender, fault scenario.Fault) {
+	s.restartMu.Lock()
+	defer s.restartMu.Unlock()
+	if fault.Kind == scenario.Kill {
 		t.clients.Dead(s.number)
 		s.kill()
 	} else {
 		t.clients.Leaving(s.number)
-		if err := s.leave(); err != nil {
-			t.fault(err)
+		if err := s.shutdown(); err != nil {
+			t.addError(err)
 		}
 	}
-	if !t.stage.At(f.Until()) {
+	if !t.stage.At(fault.Until()) {
 		return
 	}
-	s.life("starting") // what it was told before ends here, though it is found ready a little later
+	// What the old process received, such as requested waits, no longer binds the sender from here on, although the new
+	// process is found ready only a little later.
+	s.recordState("starting")
 	if err := s.launch(t.platform.List()); err != nil {
-		t.fault(err)
+		t.addError(err)
 		return
 	}
 	t.clients.Back(s.number)
 }
 
-// strike plays a fault of a sender.
-func (t *trial) strike(s *Sender, f scenario.Fault) {
-	if !t.stage.At(f.At) {
+// applyFault waits for the time of a fault that affects a sender, and applies it until its end.
+func (t *trial) applyFault(s *Sender, fault scenario.Fault) {
+	if !t.stage.At(fault.At) {
 		return
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case scenario.Kill, scenario.Stop:
-		t.restart(s, f)
+		t.restart(s, fault)
 	case scenario.Freeze:
-		s.life("frozen")
+		s.recordState("frozen")
 		s.signal(syscall.SIGSTOP)
-		t.stage.At(f.Until())
+		t.stage.At(fault.Until())
 		s.signal(syscall.SIGCONT)
-		s.life("going on")
+		s.recordState("going on")
 	case scenario.FewFiles:
-		if err := s.limitFiles(int(f.Size)); err != nil {
-			t.fault(err)
+		if err := s.limitFiles(int(fault.Size)); err != nil {
+			t.addError(err)
 		}
-		t.stage.At(f.Until())
+		t.stage.At(fault.Until())
 		if err := s.limitFiles(-1); err != nil {
-			t.fault(err)
+			t.addError(err)
 		}
 	case scenario.Reload:
-		if err := os.WriteFile(s.path, []byte(`{"listen": "127.0.0.1:`), 0o600); err != nil {
-			t.fault(err)
+		if err := os.WriteFile(s.configPath, []byte(`{"listen": "127.0.0.1:`), 0o600); err != nil {
+			t.addError(err)
 		}
 		s.signal(syscall.SIGHUP)
-		t.stage.At(f.Until())
+		t.stage.At(fault.Until())
 		if err := t.platform.Listen(s.number, ""); err != nil {
-			t.fault(err)
+			t.addError(err)
 		}
 		s.config.Discovery = t.platform.Address(s.number)
-		if err := s.configure(); err != nil {
-			t.fault(err)
+		if err := s.writeConfig(); err != nil {
+			t.addError(err)
 		}
 		s.signal(syscall.SIGHUP)
 	}
 }
 
-// Breaches is what the auditor found, with the senders' crashes.
-func (t *trial) breaches(until rules.Millis) []audit.Breach {
-	found := t.stage.Record.Check(t.stage.World.Settings, audit.Usual, until)
+// breaches returns the breaches that the audit finds, and one for each problem of a sender, each error of the run, and
+// bad clients that were not handled in time.
+func (t *trial) breaches(endedAt rules.Millis) []audit.Breach {
+	found := t.stage.Record.Check(t.stage.World.Settings, audit.Usual, endedAt)
 	for _, s := range t.senders {
 		s.mu.Lock()
-		for _, crash := range s.crashes {
-			found = append(found, audit.Breach{Rule: audit.Other, What: crash})
+		for _, problem := range s.problems {
+			found = append(found, audit.Breach{Rule: audit.Other, What: problem})
 		}
 		s.mu.Unlock()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, err := range t.faults {
+	for _, err := range t.runErrors {
 		found = append(found, audit.Breach{Rule: audit.Other, What: err.Error()})
 	}
-	if n := t.clients.BadOpen.Load(); n > 0 {
+	if count := t.clients.BadOpen.Load(); count > 0 {
 		found = append(found, audit.Breach{Rule: audit.Other,
-			What: fmt.Sprintf("%d of %d bad clients got neither an error nor a close in time", n, t.clients.Bad.Load())})
+			What: fmt.Sprintf("%d of %d bad clients got neither an error response nor a close within 3 s", count,
+				t.clients.Bad.Load())})
 	}
 	return found
 }
