--- a/internal/trial/double_test.go
+++ b/internal/trial/double_test.go
@@ -20,169 +20,181 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// double is a small sender that is right unless it is told to be wrong in one way: what the auditor finds of it shows
-// what the auditor is worth.
-type double struct {
-	wrong  string
+// testSender is a minimal sender with at most one deliberate defect. The tests check that the audit finds the defect,
+// and finds nothing wrong with a testSender without one.
+type testSender struct {
+	defect string // a case of TestAuditorFindsWrongSenders; empty: none
 	config config.Config
 
-	mu    sync.Mutex
-	list  map[string]directory.Member
-	since int64
-	dests map[int64]*place
-	keys  map[string]chan struct{} // closed when the last notice of a key is over
-	count int
+	mu           sync.Mutex
+	receivers    map[string]directory.Member
+	revision     int64
+	destinations map[int64]*destinationState
+	lastOfKey    map[string]chan struct{} // by affinity key; closed when the latest notice of the key is finished
+	accepted     int
 }
 
-type place struct {
-	waitUntil, slowUntil, next time.Time
+// destinationState limits the calls to one destination. None starts before waitUntil, which its receivers requested.
+// After a failed call, nextCall spaces out the calls until slowUntil.
+type destinationState struct {
+	waitUntil, slowUntil, nextCall time.Time
 }
 
-type job struct {
-	id, mark, key string
-	grade         rules.Grade
-	dest          int64
-	until         time.Time
-	body          []byte
-	turn, over    chan struct{}
+// pendingNotice is an accepted notice that has no outcome yet.
+type pendingNotice struct {
+	id, idempotencyKey, key string
+	grade                   rules.Grade
+	destination             int64
+	deadline                time.Time
+	body                    []byte
+	// previous is closed when the notice before it of the same key is finished, done when this one is.
+	previous, done chan struct{}
 }
 
-// runDouble serves until it is killed.
-func runDouble(path, wrong string) error {
-	c, _, err := config.Load(path, "unused")
+// runTestSender serves with the configuration in a file until SIGTERM ends the process.
+func runTestSender(configPath, defect string) error {
+	senderConfig, _, err := config.Load(configPath, "unused")
 	if err != nil {
 		return err
 	}
-	d := &double{wrong: wrong, config: c, list: map[string]directory.Member{}, dests: map[int64]*place{}, keys: map[string]chan struct{}{}}
-	for _, m := range c.Known.Members {
-		d.list[m.ID] = m
+	sender := &testSender{defect: defect, config: senderConfig, receivers: map[string]directory.Member{},
+		destinations: map[int64]*destinationState{}, lastOfKey: map[string]chan struct{}{}}
+	for _, m := range senderConfig.Known.Members {
+		sender.receivers[m.ID] = m
 	}
-	leave := make(chan os.Signal, 1)
-	signal.Notify(leave, syscall.SIGTERM)
-	go func() { <-leave; os.Exit(0) }()
-	go d.watch()
-	return http.ListenAndServe(c.Listen, http.HandlerFunc(d.serve))
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM)
+	go func() { <-terminate; os.Exit(0) }()
+	go sender.pollReceivers()
+	return http.ListenAndServe(senderConfig.Listen, http.HandlerFunc(sender.serve))
 }
 
-var plainClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// httpClient opens a connection for each request.
+var httpClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (d *double) watch() {
+// pollReceivers keeps the receiver list up to date by long polling the platform.
+func (s *testSender) pollReceivers() {
 	for {
-		answer, err := plainClient.Get(fmt.Sprintf("http://%s/discovery/hosts?from=%d&hold_ms=2000", d.config.Discovery, d.since))
+		response, err := httpClient.Get(fmt.Sprintf("http://%s/discovery/hosts?from=%d&hold_ms=2000",
+			s.config.Discovery, s.revision))
 		var list directory.List
 		if err == nil {
-			err = json.NewDecoder(answer.Body).Decode(&list)
-			answer.Body.Close()
+			err = json.NewDecoder(response.Body).Decode(&list)
+			response.Body.Close()
 		}
 		if err != nil {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		d.mu.Lock()
-		d.since = list.Revision
+		s.mu.Lock()
+		s.revision = list.Revision
 		for _, m := range list.Members {
-			if d.wrong != "drains" || m.Phase == "ready" {
-				d.list[m.ID] = m
+			if s.defect != "drains" || m.Phase == "ready" {
+				s.receivers[m.ID] = m
 			}
 		}
-		d.mu.Unlock()
+		s.mu.Unlock()
 	}
 }
 
-func (d *double) serve(w http.ResponseWriter, r *http.Request) {
+// serve accepts a notice and delivers it in the background.
+func (s *testSender) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/up" {
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
-	left, _ := strconv.Atoi(r.Header.Get("Request-Timeout-Ms"))
-	dest, _ := strconv.ParseInt(strings.TrimPrefix(r.Header.Get("X-Consignee"), "dest="), 10, 64)
-	j := &job{id: r.Header.Get("Request-Id"), mark: r.Header.Get("Idempotency-Key"), key: r.Header.Get("Affinity-Key"), dest: dest,
-		until: time.Now().Add(time.Duration(left) * time.Millisecond), body: body, over: make(chan struct{})}
-	for i, name := range d.config.Names.Grades {
+	timeoutMS, _ := strconv.Atoi(r.Header.Get("Request-Timeout-Ms"))
+	destination, _ := strconv.ParseInt(strings.TrimPrefix(r.Header.Get("X-Consignee"), "dest="), 10, 64)
+	notice := &pendingNotice{id: r.Header.Get("Request-Id"), idempotencyKey: r.Header.Get("Idempotency-Key"),
+		key: r.Header.Get("Affinity-Key"), destination: destination,
+		deadline: time.Now().Add(time.Duration(timeoutMS) * time.Millisecond), body: body, done: make(chan struct{})}
+	for i, name := range s.config.Names.Grades {
 		if name == r.Header.Get("Request-Class") {
-			j.grade = d.config.Settings.Grades[i]
+			notice.grade = s.config.Settings.Grades[i]
 		}
 	}
-	d.mu.Lock()
-	if j.key != "" && j.grade.InOrder && d.wrong != "order" {
-		j.turn, d.keys[j.key] = d.keys[j.key], j.over
+	s.mu.Lock()
+	if notice.key != "" && notice.grade.InOrder && s.defect != "order" {
+		notice.previous, s.lastOfKey[notice.key] = s.lastOfKey[notice.key], notice.done
 	}
-	d.count++
-	loses := d.wrong == "loses" && d.count%20 == 0
-	d.mu.Unlock()
+	s.accepted++
+	isLost := s.defect == "loses" && s.accepted%20 == 0
+	s.mu.Unlock()
 	w.WriteHeader(202)
-	if !loses {
-		go d.deliver(j)
+	if !isLost {
+		go s.deliver(notice)
 	}
 }
 
-func (d *double) deliver(j *job) {
-	defer close(j.over)
-	if j.turn != nil {
-		<-j.turn
+// deliver makes trips until the notice is delivered or reports its final outcome.
+func (s *testSender) deliver(notice *pendingNotice) {
+	defer close(notice.done)
+	if notice.previous != nil {
+		<-notice.previous
 	}
-	if d.wrong == "order" && j.grade.InOrder {
+	if s.defect == "order" && notice.grade.InOrder {
 		time.Sleep(time.Duration(rand.IntN(200)) * time.Millisecond)
 	}
 	mayHaveRun := false
 	for trips := 0; ; {
-		if time.Now().After(j.until.Add(-300*time.Millisecond)) || trips >= d.config.Settings.TripLimit {
-			d.end(j, mayHaveRun)
+		if time.Now().After(notice.deadline.Add(-300*time.Millisecond)) || trips >= s.config.Settings.TripLimit {
+			s.reportOutcome(notice, mayHaveRun)
 			return
 		}
-		address, ok := d.choose(j)
+		address, ok := s.choose(notice)
 		if !ok {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
 		trips++
-		status, wait, ran := d.call(address, j)
+		status, wait, ran := s.call(address, notice)
 		if status == 200 {
-			if d.wrong == "ends delivered" && trips == 1 && rand.IntN(20) == 0 {
+			if s.defect == "ends delivered" && trips == 1 && rand.IntN(20) == 0 {
 				time.Sleep(400 * time.Millisecond)
-				d.end(j, false)
+				s.reportOutcome(notice, false)
 			}
-			if d.wrong == "copies" && rand.IntN(20) == 0 {
-				go d.call(address, j)
-				d.call(address, j)
+			if s.defect == "copies" && rand.IntN(20) == 0 {
+				go s.call(address, notice)
+				s.call(address, notice)
 			}
 			return
 		}
 		mayHaveRun = mayHaveRun || ran
-		d.mu.Lock()
-		p := d.dests[j.dest]
-		if d.wrong != "waits" {
-			p.waitUntil = time.Now().Add(wait)
+		s.mu.Lock()
+		destination := s.destinations[notice.destination]
+		if s.defect != "waits" {
+			destination.waitUntil = time.Now().Add(wait)
 		}
-		if status == 0 && d.wrong != "pushes" {
-			p.slowUntil = time.Now().Add(12 * time.Second)
+		if status == 0 && s.defect != "pushes" {
+			destination.slowUntil = time.Now().Add(12 * time.Second)
 		}
-		d.mu.Unlock()
-		if mayHaveRun && j.grade.Repeat == rules.AtMostOnce && d.wrong != "repeats" {
-			d.end(j, d.wrong != "dismisses")
+		s.mu.Unlock()
+		if mayHaveRun && notice.grade.Repeat == rules.AtMostOnce && s.defect != "repeats" {
+			s.reportOutcome(notice, s.defect != "dismisses")
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// choose finds a receiver that may be called now, and books the call.
-func (d *double) choose(j *job) (string, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	p := d.dests[j.dest]
-	if p == nil {
-		p = &place{}
-		d.dests[j.dest] = p
+// choose returns the address of a receiver that may be called now, and false if there is none. After a failed call to
+// the destination it also delays the next one.
+func (s *testSender) choose(notice *pendingNotice) (string, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	destination := s.destinations[notice.destination]
+	if destination == nil {
+		destination = &destinationState{}
+		s.destinations[notice.destination] = destination
 	}
 	now := time.Now()
-	if now.Before(p.waitUntil) || now.Before(p.next) {
+	if now.Before(destination.waitUntil) || now.Before(destination.nextCall) {
 		return "", false
 	}
-	for _, m := range d.list {
-		if m.Phase == "ready" && (m.Cell == j.dest || d.wrong == "strays" && rand.IntN(10) == 0) {
-			if now.Before(p.slowUntil) {
-				p.next = now.Add(600 * time.Millisecond)
+	for _, m := range s.receivers {
+		if m.Phase == "ready" && (m.Cell == notice.destination || s.defect == "strays" && rand.IntN(10) == 0) {
+			if now.Before(destination.slowUntil) {
+				destination.nextCall = now.Add(600 * time.Millisecond)
 			}
 			return m.HostPort, true
 		}
@@ -190,50 +202,54 @@
 	return "", false
 }
 
-// call makes one call; ran tells whether it may have run.
-func (d *double) call(address string, j *job) (status int, wait time.Duration, ran bool) {
-	request, _ := http.NewRequest("POST", "http://"+address+"/events", bytes.NewReader(j.body))
-	request.Header.Set("Request-Id", j.id)
-	if j.mark != "" {
-		request.Header.Set("Idempotency-Key", j.mark)
+// call makes one call. wait is the wait that the receiver requested, and ran reports whether the call may have taken
+// effect.
+func (s *testSender) call(address string, notice *pendingNotice) (status int, wait time.Duration, ran bool) {
+	request, _ := http.NewRequest("POST", "http://"+address+"/events", bytes.NewReader(notice.body))
+	request.Header.Set("Request-Id", notice.id)
+	if notice.idempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", notice.idempotencyKey)
 	}
-	answer, err := plainClient.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return 0, 0, !strings.Contains(err.Error(), "dial")
 	}
-	answer.Body.Close()
-	if s, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err == nil {
-		wait = time.Duration(s * float64(time.Second))
+	response.Body.Close()
+	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		wait = time.Duration(seconds * float64(time.Second))
 	}
-	return answer.StatusCode, wait, answer.StatusCode == 500
+	return response.StatusCode, wait, response.StatusCode == 500
 }
 
-func (d *double) end(j *job, mayHaveRun bool) {
-	if d.wrong == "late" {
-		time.Sleep(time.Until(j.until.Add(700 * time.Millisecond)))
+// reportOutcome reports to the platform that a notice was dismissed or, if it may have run, broken off.
+func (s *testSender) reportOutcome(notice *pendingNotice, mayHaveRun bool) {
+	if s.defect == "late" {
+		time.Sleep(time.Until(notice.deadline.Add(700 * time.Millisecond)))
 	}
 	outcome := directory.HandedBack
 	if mayHaveRun {
 		outcome = directory.GivenUp
 	}
-	line := fmt.Sprintf(`{"message":%q,"outcome":%q}`, j.id, outcome)
-	if answer, err := plainClient.Post("http://"+d.config.Discovery+"/v2/finals", "application/json", strings.NewReader(line)); err == nil {
-		answer.Body.Close()
+	line := fmt.Sprintf(`{"message":%q,"outcome":%q}`, notice.id, outcome)
+	if response, err := httpClient.Post("http://"+s.config.Discovery+"/v2/finals", "application/json",
+		strings.NewReader(line)); err == nil {
+		response.Body.Close()
 	}
-	if d.wrong == "goes on" {
-		if address, ok := d.choose(j); ok {
+	if s.defect == "goes on" {
+		if address, ok := s.choose(notice); ok {
 			time.Sleep(200 * time.Millisecond)
-			d.call(address, j)
+			s.call(address, notice)
 		}
 	}
 }
 
-// asDouble is the environment variable by which the test's own program becomes a double.
-const asDouble = "CHUTEWEIR_DOUBLE"
+// defectVariable is the environment variable that makes the test binary run as a testSender; its value is the defect.
+const defectVariable = "CHUTEWEIR_DOUBLE"
 
-func doubleMain() {
-	if wrong, is := os.LookupEnv(asDouble); is {
-		fmt.Fprintln(os.Stderr, runDouble(os.Args[1], wrong))
+// runAsTestSender runs a testSender in place of the tests if defectVariable is set.
+func runAsTestSender() {
+	if defect, isSet := os.LookupEnv(defectVariable); isSet {
+		fmt.Fprintln(os.Stderr, runTestSender(os.Args[1], defect))
 		os.Exit(1)
 	}
 }
--- a/internal/trial/norace_test.go
+++ b/internal/trial/norace_test.go
@@ -2,4 +2,5 @@
 
 package trial
 
+// buildFlags is empty when the tests run without the race detector.
 var buildFlags []string
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -11,27 +11,29 @@
 	"chuteweir.example/chuteweir/internal/scenario"
 )
 
+// program is the path of the chuteweir binary that TestMain builds.
 var program string
 
 func TestMain(m *testing.M) {
-	doubleMain()
+	runAsTestSender()
 	folder, err := os.MkdirTemp("", "trial")
 	if err != nil {
 		panic(err)
 	}
 	program = filepath.Join(folder, "chuteweir")
-	// The race detector lets a sender sleep for a second at its exit, which is none of its own time.
+	// By default the race detector delays a process's exit by 1 s, which would count towards the time to shut down.
 	os.Setenv("GORACE", "atexit_sleep_ms=100")
-	if out, err := exec.Command("go", append([]string{"build", "-o", program}, append(buildFlags, "../../cmd/chuteweir")...)...).CombinedOutput(); err != nil {
-		panic(string(out))
+	if output, err := exec.Command("go", append([]string{"build", "-o", program},
+		append(buildFlags, "../../cmd/chuteweir")...)...).CombinedOutput(); err != nil {
+		panic(string(output))
 	}
 	code := m.Run()
 	os.RemoveAll(folder)
 	os.Exit(code)
 }
 
-// troubles has something of all that a wrong sender may do wrong.
-const troubles = `
+// auditScenario has notices, destinations and faults that expose every defect of the test sender.
+const auditScenario = `
 name = "troubles"
 length = "3s"
 settle = "5s"
@@ -93,67 +95,69 @@
 for = "2900ms"
 `
 
-// playsAtOnce is how many scenarios parallel tests play at once: more hold each other up.
-const playsAtOnce = 3
+// maxParallelRuns limits the scenarios that parallel tests run at once; more of them slow each other down.
+const maxParallelRuns = 3
 
-var playing = make(chan struct{}, playsAtOnce)
+var runSlots = make(chan struct{}, maxParallelRuns)
 
-// playBeside lets a test's play begin beside few others.
-func playBeside(t *testing.T) {
+// runInParallel marks a test as parallel and waits until fewer than maxParallelRuns others run.
+func runInParallel(t *testing.T) {
 	t.Helper()
 	t.Parallel()
-	playing <- struct{}{}
-	t.Cleanup(func() { <-playing })
+	runSlots <- struct{}{}
+	t.Cleanup(func() { <-runSlots })
 }
 
-func play(t *testing.T, text string, seed uint64, start Start) *Result {
+// runScenario runs the scenario in text with a seed against the senders of start.
+func runScenario(t *testing.T, text string, seed uint64, start Start) *Result {
 	t.Helper()
-	s, faults := scenario.Read("made up", []byte(text))
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	sc, problems := scenario.Read("made up", []byte(text))
+	if len(problems) > 0 {
+		t.Fatal(problems)
 	}
-	s.Seed = seed
-	r, err := Run(context.Background(), Options{Scenario: s, Start: start})
+	sc.Seed = seed
+	result, err := Run(context.Background(), Options{Scenario: sc, Start: start})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
-// Each way to be wrong is found, under its rule; a sender that is right is not blamed.
+// The audit reports each defect of a test sender as a breach of the right rule, and no breach of a sender without
+// defects.
 func TestAuditorFindsWrongSenders(t *testing.T) {
-	for wrong, rule := range map[string]audit.Rule{
+	for defect, rule := range map[string]audit.Rule{
 		"": -1, "loses": audit.Lost, "late": audit.Lost, "goes on": audit.Lost, "ends delivered": audit.Lost,
 		"repeats": audit.Twice, "copies": audit.Twice, "dismisses": audit.Twice, "drains": audit.Drains,
 		"pushes": audit.Returns, "order": audit.Order, "waits": audit.Waits, "strays": audit.Other,
 	} {
-		t.Run("wrong "+wrong, func(t *testing.T) {
-			playBeside(t)
-			self, err := os.Executable()
+		t.Run("wrong "+defect, func(t *testing.T) {
+			runInParallel(t)
+			testBinary, err := os.Executable()
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := play(t, troubles, 1, func(config, state string) *exec.Cmd {
-				c := exec.Command(self, config)
-				c.Env = append(os.Environ(), asDouble+"="+wrong)
-				return c
+			result := runScenario(t, auditScenario, 1, func(configPath, state string) *exec.Cmd {
+				command := exec.Command(testBinary, configPath)
+				command.Env = append(os.Environ(), defectVariable+"="+defect)
+				return command
 			})
 			found := map[audit.Rule]int{}
-			for _, b := range r.Breaches {
+			for _, b := range result.Breaches {
 				found[b.Rule]++
 			}
 			if rule >= 0 && found[rule] == 0 || rule < 0 && len(found) > 0 {
-				t.Errorf("found %v\n%s", found, audit.Tell(r.Breaches))
+				t.Errorf("found %v\n%s", found, audit.Tell(result.Breaches))
 			}
-			if r.All.Asked < 300 {
-				t.Errorf("%d notices tell nothing", r.All.Asked)
+			if result.All.Asked < 300 {
+				t.Errorf("got %d notices, expected at least 300 for a meaningful run", result.All.Asked)
 			}
 		})
 	}
 }
 
-// head is the settings of short scenarios for the real sender.
-const head = `
+// shortScenario has the settings of the short scenarios that the real sender runs.
+const shortScenario = `
 length = "4s"
 settle = "10s"
 [traffic]
@@ -190,12 +194,12 @@
 tells_wait = 0.5
 `
 
-// What a sender does in the worst hours breaks no rule, and what is well is served.
+// Under heavy faults a sender breaks no rule, and notices for healthy destinations are delivered.
 func TestHardHours(t *testing.T) {
 	for name, c := range map[string]struct {
-		script string
-		least  float64 // of the credit
-		most   float64 // 0: any
+		faults    string
+		minCredit float64
+		maxCredit float64 // 0: no upper bound
 	}{
 		"calm": {"", 0.999, 0},
 		"all sick, the hold full": {`
@@ -298,64 +302,68 @@
 part = 0.5`, 0.6, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playBeside(t)
-			r := play(t, "name = \"hard\"\n"+head+c.script, 1, Serve(program, "debug"))
-			if !r.Clean() {
-				t.Errorf("%d breaches\n%s", len(r.Breaches), audit.Tell(r.Breaches))
+			runInParallel(t)
+			result := runScenario(t, "name = \"hard\"\n"+shortScenario+c.faults, 1, Serve(program, "debug"))
+			if !result.Clean() {
+				t.Errorf("%d breaches\n%s", len(result.Breaches), audit.Tell(result.Breaches))
 			}
-			if r.All.Credit < c.least || c.most > 0 && r.All.Credit > c.most || r.All.Asked < 300 {
-				t.Errorf("credit %.3f of %d notices", r.All.Credit, r.All.Asked)
+			if result.All.Credit < c.minCredit || c.maxCredit > 0 && result.All.Credit > c.maxCredit ||
+				result.All.Asked < 300 {
+				t.Errorf("credit %.3f of %d notices is out of bounds", result.All.Credit, result.All.Asked)
 			}
 		})
 	}
 }
 
-// Twenty destinations that hang, with fewer connections than slots are configured, take nothing from twenty that are
-// well. Before shortages were told as such and slots held to the connections, a third of these notices were handed back.
-func TestManySick(t *testing.T) {
-	s, err := scenario.Load("manysick")
+// Twenty destinations that hang do not reduce the deliveries to twenty healthy ones, although fewer connections than
+// slots are configured. A third of the healthy destinations' notices were dismissed when a shortage of the sender's own
+// connections was not reported as a local shortage and slots were not limited to the number of connections.
+func TestManyFailingDestinations(t *testing.T) {
+	sc, err := scenario.Load("manysick")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(context.Background(), Options{Scenario: s, Start: Serve(program, "info")})
+	result, err := Run(context.Background(), Options{Scenario: sc, Start: Serve(program, "info")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Clean() {
-		t.Error(audit.Tell(r.Breaches))
+	if !result.Clean() {
+		t.Error(audit.Tell(result.Breaches))
 	}
-	if r.Well.Credit < 0.99 || r.Well.Asked < 500 {
-		t.Errorf("credit where all is well %.3f of %d", r.Well.Credit, r.Well.Asked)
+	if result.Well.Credit < 0.99 || result.Well.Asked < 500 {
+		t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit, result.Well.Asked)
 	}
 }
 
-// Destinations that are sick, each in its way, take nothing from those that are well, hold a bounded part of the slots,
-// and bring no wave of further calls.
+// Destinations that fail, in a different way in each scenario, do not reduce the deliveries to healthy ones. They hold
+// a bounded share of the slots, and cause few calls beyond the first of each notice.
 func TestSickTakeNothingFromWell(t *testing.T) {
-	for _, name := range []string{"sick-half-hang", "sick-half-never-up", "sick-half-dribble", "sick-half-flap", "sick-big-hangs",
-		"sick-third-fails", "sick-no-files"} {
+	for _, name := range []string{"sick-half-hang", "sick-half-never-up", "sick-half-dribble", "sick-half-flap",
+		"sick-big-hangs", "sick-third-fails", "sick-no-files"} {
 		t.Run(name, func(t *testing.T) {
-			playBeside(t)
-			s, err := scenario.Load(name)
+			runInParallel(t)
+			sc, err := scenario.Load(name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Traffic.Rate, s.Settings.Slots, s.Length, s.Settle = 100, 12, 5000, 6000
-			struck := scenario.Lay(s)
-			r, err := Run(context.Background(), Options{Scenario: s, Start: Serve(program, "info")})
+			sc.Traffic.Rate, sc.Settings.Slots, sc.Length, sc.Settle = 100, 12, 5000, 6000
+			world := scenario.Lay(sc)
+			result, err := Run(context.Background(), Options{Scenario: sc, Start: Serve(program, "info")})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !r.Clean() {
-				t.Error(audit.Tell(r.Breaches))
+			if !result.Clean() {
+				t.Error(audit.Tell(result.Breaches))
 			}
-			trouble := r.Trouble(func(d int) bool { return len(struck.Destinations[d-1].Faults) > 0 })
-			if r.Well.Credit < 0.99 || r.Well.Asked < 70 {
-				t.Errorf("credit where all is well %.3f of %d", r.Well.Credit, r.Well.Asked)
+			impact := result.Trouble(func(d int) bool { return len(world.Destinations[d-1].Faults) > 0 })
+			if result.Well.Credit < 0.99 || result.Well.Asked < 70 {
+				t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit, result.Well.Asked)
 			}
-			// Two routes more may hold a call that is not overdue yet, and the gateways see a call later than its sender.
-			if trouble.MostSlots > 0.75+3.0/12 || trouble.Further > 0.1 {
-				t.Errorf("the sick held %.2f of the slots; %.3f further calls for a notice", trouble.MostSlots, trouble.Further)
+			// Two more routes may each hold a call that is not overdue yet, and a gateway sees a call later than its
+			// sender starts it.
+			if impact.MostSlots > 0.75+3.0/12 || impact.Further > 0.1 {
+				t.Errorf("failing destinations held %.2f of the slots; %.3f further calls for each notice",
+					impact.MostSlots, impact.Further)
 			}
 		})
 	}
