--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -305,8 +305,8 @@
 	return nil
 }
 
-// counter reads one of the sender's counters over HTTP. known is false if the sender does not respond or has no such
-// counter, as a program other than chuteweir.
+// counter reads one of the sender's counters over HTTP. known is false if the sender does not respond, or is a program
+// without that counter.
 func (s *Sender) counter(name string) (value int, known bool) {
 	client := &http.Client{Timeout: 100 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + s.address + "/counters")
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -331,7 +331,8 @@
 		t.Error(audit.Tell(result.Breaches))
 	}
 	if result.Well.Credit < 0.99 || result.Well.Asked < 500 {
-		t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit, result.Well.Asked)
+		t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit,
+			result.Well.Asked)
 	}
 }
 
@@ -357,7 +358,8 @@
 			}
 			impact := result.Trouble(func(d int) bool { return len(world.Destinations[d-1].Faults) > 0 })
 			if result.Well.Credit < 0.99 || result.Well.Asked < 70 {
-				t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit, result.Well.Asked)
+				t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit,
+					result.Well.Asked)
 			}
 			// Two more routes may each hold a call that is not overdue yet, and a gateway sees a call later than its
 			// sender starts it.
