--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -37,103 +37,103 @@
 func PolicyOf(name string, s *scenario.Scenario) (Policy, error) {
 	switch {
 	case name == "" || name == "ours":
-		return Ours, nil
+		return Daemon, nil
 	case !slices.Contains(Policies(), name):
 		return nil, fmt.Errorf("no policy %q: one of %s", name, strings.Join(Policies(), ", "))
 	}
 	w := scenario.Lay(s)
 	return func(seed uint64, settings rules.Settings, began rules.Millis) Decider {
-		return &plain{kind: name, settings: settings, began: began, world: w, draw: rand.New(rand.NewPCG(seed, 1)),
-			notices: map[rules.NoticeID]*plainNotice{}, dests: map[rules.DestinationID]*plainDest{},
-			receivers: map[rules.ReceiverID]*plainReceiver{}}
+		return &baseline{policy: name, settings: settings, startedAt: began, world: w, rng: rand.New(rand.NewPCG(seed, 1)),
+			notices: map[rules.NoticeID]*baselineNotice{}, dests: map[rules.DestinationID]*baselineDestination{},
+			receivers: map[rules.ReceiverID]*baselineReceiver{}}
 	}, nil
 }
 
-type plainNotice struct {
+type baselineNotice struct {
 	rules.NoticeTaken
 	until, readyAt rules.Millis
 	trips          int
 	mayHaveRun     bool
-	out            *plainReceiver
-	place          int
+	sentTo         *baselineReceiver
+	heapIndex      int
 }
 
-type plainReceiver struct {
-	id    rules.ReceiverID
-	dest  *plainDest
-	ready bool
-	out   int
+type baselineReceiver struct {
+	id       rules.ReceiverID
+	dest     *baselineDestination
+	ready    bool
+	inFlight int
 }
 
 // plainDest is what a baseline keeps of a destination.
-type plainDest struct {
-	number    int
-	receivers []*plainReceiver
-	turn, out int
-	rate      float64 // told, calls a second
+type baselineDestination struct {
+	number                 int
+	receivers              []*baselineReceiver
+	nextReceiver, inFlight int
+	reportedRate           float64 // told, calls a second
 	// Token bucket.
-	tokens float64
-	filled rules.Millis
+	tokens   float64
+	filledAt rules.Millis
 	// Gradient.
-	limit, least float64
+	inFlightLimit, minLatency float64
 	// Breaker.
-	state           string
-	since, openedAt rules.Millis
-	calls, failed   int
-	trial           bool
+	state                 string
+	windowStart, openedAt rules.Millis
+	calls, failed         int
+	trialSent             bool
 }
 
 // plain is a sender of the textbook kind.
-type plain struct {
-	kind      string
-	settings  rules.Settings
-	began     rules.Millis
-	world     *scenario.World
-	draw      *rand.Rand
-	now       rules.Millis
-	notices   map[rules.NoticeID]*plainNotice
-	waiting   byReady
-	dests     map[rules.DestinationID]*plainDest
-	receivers map[rules.ReceiverID]*plainReceiver
-	slots     int
-	tokens    float64 // of the retry budget
-	actions   []rules.Action
-	timerAt   rules.Millis
+type baseline struct {
+	policy      string
+	settings    rules.Settings
+	startedAt   rules.Millis
+	world       *scenario.World
+	rng         *rand.Rand
+	now         rules.Millis
+	notices     map[rules.NoticeID]*baselineNotice
+	waiting     noticesByReady
+	dests       map[rules.DestinationID]*baselineDestination
+	receivers   map[rules.ReceiverID]*baselineReceiver
+	usedSlots   int
+	retryTokens float64 // of the retry budget
+	actions     []rules.Action
+	timerAt     rules.Millis
 }
 
-func (p *plain) do(a rules.Action) { p.actions = append(p.actions, a) }
+func (p *baseline) emit(a rules.Action) { p.actions = append(p.actions, a) }
 
 // Decide takes what happened and returns what is to be done.
-func (p *plain) Decide(now rules.Millis, events []rules.Event) []rules.Action {
+func (p *baseline) Decide(now rules.Millis, events []rules.Event) []rules.Action {
 	p.now, p.actions = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case rules.ListTold:
-			p.list(e)
+			p.updateList(e)
 		case rules.NoticeTaken:
-			n := &plainNotice{NoticeTaken: e, until: now + e.Left, readyAt: now, trips: e.Trips, mayHaveRun: e.Ran > 0}
+			n := &baselineNotice{NoticeTaken: e, until: now + e.Left, readyAt: now, trips: e.Trips, mayHaveRun: e.Ran > 0}
 			p.notices[e.Notice] = n
-			p.tokens = min(p.tokens+0.1, 100)
+			p.retryTokens = min(p.retryTokens+0.1, 100)
 			heap.Push(&p.waiting, n)
 		case rules.TripEnded:
-			p.ended(e)
+			p.tripEnded(e)
 		case rules.ConnectionUp:
-			p.do(rules.Write(e))
+			p.emit(rules.Write(e))
 		case rules.ListFailed:
-			p.do(rules.WatchList{})
+			p.emit(rules.WatchList{})
 		}
 	}
-	p.serve()
-	if next := p.next(); next < p.timerAt || p.timerAt <= now {
+	p.sendWaiting()
+	if next := p.nextTimer(); next < p.timerAt || p.timerAt <= now {
 		p.timerAt = next
 		if next < never {
-			p.do(rules.SetTimer{After: max(next-now, p.settings.Tick)})
+			p.emit(rules.SetTimer{After: max(next-now, p.settings.Tick)})
 		}
 	}
 	return p.actions
 }
 
-func (p *plain) list(e rules.ListTold) {
+func (p *baseline) updateList(e rules.ListTold) {
 	if e.Whole {
 		for _, rc := range p.receivers {
 			rc.ready = false
@@ -142,12 +142,12 @@
 	for _, x := range e.Entries {
 		d := p.dests[x.Destination]
 		if d == nil {
-			d = &plainDest{number: int(x.Destination), state: "closed", limit: 20}
+			d = &baselineDestination{number: int(x.Destination), state: "closed", inFlightLimit: 20}
 			p.dests[x.Destination] = d
 		}
 		rc := p.receivers[x.Receiver]
 		if rc == nil {
-			rc = &plainReceiver{id: x.Receiver, dest: d}
+			rc = &baselineReceiver{id: x.Receiver, dest: d}
 			p.receivers[x.Receiver] = rc
 			d.receivers = append(d.receivers, rc)
 		}
@@ -155,19 +155,19 @@
 	}
 }
 
-func (p *plain) ended(e rules.TripEnded) {
+func (p *baseline) tripEnded(e rules.TripEnded) {
 	n := p.notices[e.Notice]
-	if n == nil || n.out == nil {
+	if n == nil || n.sentTo == nil {
 		return
 	}
-	rc := n.out
+	rc := n.sentTo
 	d := rc.dest
-	n.out = nil
-	p.slots--
-	rc.out--
-	d.out--
+	n.sentTo = nil
+	p.usedSlots--
+	rc.inFlight--
+	d.inFlight--
 	if e.LimitTold {
-		d.rate = e.LimitRate
+		d.reportedRate = e.LimitRate
 	}
 	p.learn(d, e)
 	if e.Result == rules.Handled || e.Over {
@@ -178,44 +178,44 @@
 	n.mayHaveRun = n.mayHaveRun || !unrun
 	grade := p.settings.Grades[n.Grade]
 	limit := p.settings.TripLimit
-	if p.kind == OneTry {
+	if p.policy == OneTry {
 		limit = 1
 	}
-	if p.kind == Budget && n.trips < limit {
-		if p.tokens < 1 {
+	if p.policy == Budget && n.trips < limit {
+		if p.retryTokens < 1 {
 			limit = 0
 		} else {
-			p.tokens--
+			p.retryTokens--
 		}
 	}
 	if n.trips >= limit || n.mayHaveRun && grade.Repeat == rules.AtMostOnce {
-		p.end(n)
+		p.endNotice(n)
 		return
 	}
 	n.readyAt = p.now + e.Wait
-	if p.kind != Immediate {
-		n.readyAt += rules.Millis(p.draw.Float64() * math.Min(50*math.Exp2(float64(n.trips)), float64(grade.QuotedTime)))
+	if p.policy != Immediate {
+		n.readyAt += rules.Millis(p.rng.Float64() * math.Min(50*math.Exp2(float64(n.trips)), float64(grade.QuotedTime)))
 	}
 	heap.Push(&p.waiting, n)
 }
 
 // learn moves what a baseline knows of a destination by an outcome.
-func (p *plain) learn(d *plainDest, e rules.TripEnded) {
+func (p *baseline) learn(d *baselineDestination, e rules.TripEnded) {
 	failed := e.Result != rules.Handled && e.Result != rules.Full && e.Result != rules.Short
-	switch p.kind {
+	switch p.policy {
 	case Gradient:
 		spent := float64(max(e.Spent, 0.1))
-		if e.Result == rules.Handled && (d.least == 0 || spent < d.least) {
-			d.least = spent
+		if e.Result == rules.Handled && (d.minLatency == 0 || spent < d.minLatency) {
+			d.minLatency = spent
 		}
-		d.least *= 1.001
-		if d.least > 0 {
-			gradient := min(max(2*d.least/spent, 0.5), 1)
-			d.limit = min(max(d.limit*gradient+math.Sqrt(d.limit)/4, 1), float64(p.settings.Slots))
+		d.minLatency *= 1.001
+		if d.minLatency > 0 {
+			gradient := min(max(2*d.minLatency/spent, 0.5), 1)
+			d.inFlightLimit = min(max(d.inFlightLimit*gradient+math.Sqrt(d.inFlightLimit)/4, 1), float64(p.settings.Slots))
 		}
 	case Breaker:
-		if p.now-d.since > 30_000 {
-			d.calls, d.failed, d.since = 0, 0, p.now
+		if p.now-d.windowStart > 30_000 {
+			d.calls, d.failed, d.windowStart = 0, 0, p.now
 		}
 		d.calls++
 		if failed {
@@ -223,38 +223,38 @@
 		}
 		switch {
 		case d.state == "half-open" && !failed:
-			d.state, d.calls, d.failed, d.since, d.trial = "closed", 0, 0, p.now, false
+			d.state, d.calls, d.failed, d.windowStart, d.trialSent = "closed", 0, 0, p.now, false
 		case d.state == "half-open", d.state == "closed" && d.calls >= 10 && 2*d.failed >= d.calls:
-			d.state, d.openedAt, d.trial = "open", p.now, false
+			d.state, d.openedAt, d.trialSent = "open", p.now, false
 		}
 	}
 }
 
-func (p *plain) end(n *plainNotice) {
+func (p *baseline) endNotice(n *baselineNotice) {
 	if n.mayHaveRun {
-		p.do(rules.BreakOff{Notice: n.Notice})
+		p.emit(rules.BreakOff{Notice: n.Notice})
 	} else {
-		p.do(rules.Dismiss{Notice: n.Notice})
+		p.emit(rules.Dismiss{Notice: n.Notice})
 	}
 	delete(p.notices, n.Notice)
 }
 
 // allows tells whether a call may leave for a destination now, and else when to ask again.
-func (p *plain) allows(d *plainDest) (ok bool, again rules.Millis) {
+func (p *baseline) allows(d *baselineDestination) (ok bool, again rules.Millis) {
 	again = p.now + 10
-	switch p.kind {
+	switch p.policy {
 	case Bucket:
-		if d.rate <= 0 {
+		if d.reportedRate <= 0 {
 			return true, 0
 		}
-		rate := d.rate / float64(max(p.settings.Senders, 1)) / 1000
-		d.tokens = min(d.tokens+float64(p.now-d.filled)*rate, max(200*rate, 1))
-		if d.filled = p.now; d.tokens < 1 {
+		rate := d.reportedRate / float64(max(p.settings.Senders, 1)) / 1000
+		d.tokens = min(d.tokens+float64(p.now-d.filledAt)*rate, max(200*rate, 1))
+		if d.filledAt = p.now; d.tokens < 1 {
 			return false, p.now + rules.Millis((1-d.tokens)/rate)
 		}
 		d.tokens--
 	case Gradient:
-		return float64(d.out) < d.limit, again
+		return float64(d.inFlight) < d.inFlightLimit, again
 	case Breaker:
 		if d.state == "open" && p.now >= d.openedAt+5000 {
 			d.state = "half-open"
@@ -263,20 +263,20 @@
 			return false, d.openedAt + 5000
 		}
 		if d.state == "half-open" {
-			if d.trial {
+			if d.trialSent {
 				return false, again
 			}
-			d.trial = true
+			d.trialSent = true
 		}
 	case Oracle:
-		return p.knows(d)
+		return p.oracleAllows(d)
 	}
 	return true, 0
 }
 
 // knows is the oracle's gate: no trouble that takes calls acts, and this sender's part of the capacity is free.
-func (p *plain) knows(d *plainDest) (bool, rules.Millis) {
-	at := p.began + p.now
+func (p *baseline) oracleAllows(d *baselineDestination) (bool, rules.Millis) {
+	at := p.startedAt + p.now
 	truth := p.world.Destinations[d.number-1]
 	for _, f := range truth.Faults {
 		bad := gateway.Outage(f) || f.Kind == scenario.Spoilt || f.Kind == scenario.Errors || f.Kind == scenario.ResetAfter ||
@@ -287,8 +287,8 @@
 	}
 	if limit := truth.Group.Shape.Limit; limit > 0 {
 		rate := limit / float64(max(p.settings.Senders, 1)) / 1000
-		d.tokens = min(d.tokens+float64(p.now-d.filled)*rate, max(100*rate, 1))
-		if d.filled = p.now; d.tokens < 1 {
+		d.tokens = min(d.tokens+float64(p.now-d.filledAt)*rate, max(100*rate, 1))
+		if d.filledAt = p.now; d.tokens < 1 {
 			return false, p.now + rules.Millis((1-d.tokens)/rate)
 		}
 		d.tokens--
@@ -296,17 +296,17 @@
 	return true, 0
 }
 
-func (p *plain) serve() {
-	for len(p.waiting) > 0 && p.waiting[0].readyAt <= p.now && p.slots < p.settings.Slots {
-		n := heap.Pop(&p.waiting).(*plainNotice)
+func (p *baseline) sendWaiting() {
+	for len(p.waiting) > 0 && p.waiting[0].readyAt <= p.now && p.usedSlots < p.settings.Slots {
+		n := heap.Pop(&p.waiting).(*baselineNotice)
 		if p.now >= n.until-3*p.settings.Tick {
-			p.end(n)
+			p.endNotice(n)
 			continue
 		}
 		d := p.dests[n.Destination]
-		var to *plainReceiver
+		var to *baselineReceiver
 		if d != nil {
-			to = p.choose(d)
+			to = p.chooseReceiver(d)
 		}
 		if to == nil {
 			n.readyAt = p.now + 50
@@ -319,23 +319,23 @@
 			heap.Push(&p.waiting, n)
 			continue
 		}
-		n.out, n.trips = to, n.trips+1
-		p.slots++
-		to.out++
-		d.out++
-		p.do(rules.Send{Notice: n.Notice, Receiver: to.id, TimeOut: min(p.settings.Grades[n.Grade].QuotedTime, n.until-p.now)})
+		n.sentTo, n.trips = to, n.trips+1
+		p.usedSlots++
+		to.inFlight++
+		d.inFlight++
+		p.emit(rules.Send{Notice: n.Notice, Receiver: to.id, TimeOut: min(p.settings.Grades[n.Grade].QuotedTime, n.until-p.now)})
 	}
 }
 
 // choose takes receivers in turn, or the one with the fewest calls out.
-func (p *plain) choose(d *plainDest) *plainReceiver {
-	var best *plainReceiver
-	d.turn++
+func (p *baseline) chooseReceiver(d *baselineDestination) *baselineReceiver {
+	var best *baselineReceiver
+	d.nextReceiver++
 	for i := range d.receivers {
-		rc := d.receivers[(d.turn+i)%len(d.receivers)]
+		rc := d.receivers[(d.nextReceiver+i)%len(d.receivers)]
 		switch {
 		case !rc.ready:
-		case best == nil, p.kind == Least && rc.out < best.out:
+		case best == nil, p.policy == Least && rc.inFlight < best.inFlight:
 			best = rc
 		}
 	}
@@ -343,7 +343,7 @@
 }
 
 // next is when something is to be looked at again.
-func (p *plain) next() rules.Millis {
+func (p *baseline) nextTimer() rules.Millis {
 	if len(p.waiting) == 0 {
 		return never
 	}
@@ -351,15 +351,22 @@
 }
 
 // byReady is a heap of notices by when they may go.
-type byReady []*plainNotice
+type noticesByReady []*baselineNotice
 
-func (h byReady) Len() int { return len(h) }
-func (h byReady) Less(i, j int) bool {
+func (h noticesByReady) Len() int { return len(h) }
+func (h noticesByReady) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(h[i].readyAt, h[j].readyAt), cmp.Compare(h[i].Notice, h[j].Notice)) < 0
 }
-func (h byReady) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].place, h[j].place = i, j }
-func (h *byReady) Push(x any)   { n := x.(*plainNotice); n.place = len(*h); *h = append(*h, n) }
-func (h *byReady) Pop() any {
+func (h noticesByReady) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
+}
+func (h *noticesByReady) Push(x any) {
+	n := x.(*baselineNotice)
+	n.heapIndex = len(*h)
+	*h = append(*h, n)
+}
+func (h *noticesByReady) Pop() any {
 	old := *h
 	n := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -8,19 +8,19 @@
 )
 
 // kind is what an event is.
-type kind uint8
+type eventKind uint8
 
 // event is something that happens at a node: a message from another, or what it asked for itself.
 type event struct {
-	at       rules.Millis
-	seq      uint64 // of the node that it is from
-	from, to int32
-	kind     kind
-	n        int64
-	conn     *conn
-	call     *call
-	hand     *hand
-	more     any
+	at         rules.Millis
+	seq        uint64 // of the node that it is from
+	from, to   int32
+	kind       eventKind
+	value      int64
+	conn       *conn
+	call       *call
+	submission *submission
+	payload    any
 }
 
 // before orders events by time, then by whom they concern and whom they are from: an order in which no
@@ -42,53 +42,53 @@
 
 // port is what a node sends by.
 type port struct {
-	id   int32
-	seq  uint64
-	own  *worker
-	e    *engine
-	net  Network
-	draw *rand.Rand // of this node's own
+	id      int32
+	seq     uint64
+	worker  *worker
+	engine  *engine
+	network Network
+	rng     *rand.Rand // of this node's own
 }
 
 // wire draws how long a message takes from here to another node.
-func (p *port) wire() rules.Millis {
-	d := p.net.Delay
-	if p.net.Jitter > 0 {
-		d += p.net.Jitter * rules.Millis(p.draw.ExpFloat64())
+func (p *port) transitTime() rules.Millis {
+	d := p.network.Delay
+	if p.network.Jitter > 0 {
+		d += p.network.Jitter * rules.Millis(p.rng.ExpFloat64())
 	}
-	if p.net.Loss > 0 && p.draw.Float64() < p.net.Loss {
+	if p.network.Loss > 0 && p.rng.Float64() < p.network.Loss {
 		d += retransmission
 	}
 	return d
 }
 
 // now is the time of the event that is being handled.
-func (p *port) now() rules.Millis { return p.own.now }
+func (p *port) now() rules.Millis { return p.worker.now }
 
 // post sends an event to a node; to another one it takes the engine's least delay at least.
 func (p *port) post(to int32, after rules.Millis, e event) {
-	if to != p.id && after < p.e.least {
-		after = p.e.least
+	if to != p.id && after < p.engine.minDelay {
+		after = p.engine.minDelay
 	}
 	p.seq++
-	e.at, e.seq, e.from, e.to = p.own.now+after, p.seq, p.id, to
-	if there := p.e.home[to]; there == p.own {
+	e.at, e.seq, e.from, e.to = p.worker.now+after, p.seq, p.id, to
+	if there := p.engine.workerOf[to]; there == p.worker {
 		there.push(e)
 	} else {
-		p.own.out[there.place] = append(p.own.out[there.place], e)
+		p.worker.outbox[there.index] = append(p.worker.outbox[there.index], e)
 	}
 }
 
 // self asks for an event at this node.
-func (p *port) self(after rules.Millis, e event) { p.post(p.id, after, e) }
+func (p *port) schedule(after rules.Millis, e event) { p.post(p.id, after, e) }
 
 // worker handles the events of some of the nodes in the order of their times.
 type worker struct {
-	place  int
-	e      *engine
+	index  int
+	engine *engine
 	now    rules.Millis
 	heap   []event
-	out    [][]event // for each other worker, from the present window
+	outbox [][]event // for each other worker, from the present window
 	events int64
 }
 
@@ -145,7 +145,7 @@
 		e := w.pop()
 		w.now = e.at
 		w.events++
-		w.e.nodes[e.to].handle(&e)
+		w.engine.nodes[e.to].handle(&e)
 	}
 }
 
@@ -153,23 +153,23 @@
 // workers need nothing of each other; events of one node come in an order that does not depend on how many workers
 // there are, and so does all that comes of them.
 type engine struct {
-	least   rules.Millis
-	nodes   []node
-	home    []*worker
-	workers []*worker
+	minDelay rules.Millis
+	nodes    []node
+	workerOf []*worker
+	workers  []*worker
 }
 
 // handOut is from how many events in the last window on the next is handed out to the workers.
-const handOut = 24
+const parallelThreshold = 24
 
 // newEngine makes an engine for so many nodes; home says by which worker each is run.
 func newEngine(least rules.Millis, nodes, workers int, home func(id int) int) *engine {
-	e := &engine{least: least, nodes: make([]node, nodes), home: make([]*worker, nodes)}
+	e := &engine{minDelay: least, nodes: make([]node, nodes), workerOf: make([]*worker, nodes)}
 	for i := range workers {
-		e.workers = append(e.workers, &worker{place: i, e: e, out: make([][]event, workers)})
+		e.workers = append(e.workers, &worker{index: i, engine: e, outbox: make([][]event, workers)})
 	}
 	for id := range nodes {
-		e.home[id] = e.workers[home(id)]
+		e.workerOf[id] = e.workers[home(id)]
 	}
 	return e
 }
@@ -185,61 +185,61 @@
 		}
 		return at
 	}
-	looks := 0
+	iterations := 0
 	if len(e.workers) == 1 {
 		w := e.workers[0]
 		for at := next(); at < until; at = next() {
-			if looks++; looks%64 == 0 && stop(at) {
+			if iterations++; iterations%64 == 0 && stop(at) {
 				return false
 			}
-			w.run(min(at+64*e.least, until))
+			w.run(min(at+64*e.minDelay, until))
 		}
 		return true
 	}
-	last := int64(0) // events of the last window
-	var begin []chan rules.Millis
-	var round sync.WaitGroup
+	lastWindowEvents := int64(0) // events of the last window
+	var windowEnds []chan rules.Millis
+	var windowDone sync.WaitGroup
 	for _, w := range e.workers {
 		c := make(chan rules.Millis, 1)
-		begin = append(begin, c)
+		windowEnds = append(windowEnds, c)
 		go func() {
 			for to := range c {
 				w.run(to)
-				round.Done()
+				windowDone.Done()
 			}
 		}()
 	}
 	defer func() {
-		for _, c := range begin {
+		for _, c := range windowEnds {
 			close(c)
 		}
 	}()
 	for at := next(); at < until; at = next() {
-		if looks++; looks%1024 == 0 && stop(at) {
+		if iterations++; iterations%1024 == 0 && stop(at) {
 			return false
 		}
-		to := min(at+e.least, until)
+		to := min(at+e.minDelay, until)
 		// A window with little in it is sooner run here than handed out: results are the same.
 		before := e.events()
-		if last < handOut {
+		if lastWindowEvents < parallelThreshold {
 			for _, w := range e.workers {
 				w.run(to)
 			}
 		} else {
-			round.Add(len(e.workers))
-			for _, c := range begin {
+			windowDone.Add(len(e.workers))
+			for _, c := range windowEnds {
 				c <- to
 			}
-			round.Wait()
+			windowDone.Wait()
 		}
-		last = e.events() - before
+		lastWindowEvents = e.events() - before
 		for _, from := range e.workers {
-			for place, events := range from.out {
+			for place, events := range from.outbox {
 				for _, x := range events {
 					e.workers[place].push(x)
 				}
 				clear(events)
-				from.out[place] = events[:0]
+				from.outbox[place] = events[:0]
 			}
 		}
 	}
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -38,7 +38,7 @@
 type Policy func(seed uint64, settings rules.Settings, began rules.Millis) Decider
 
 // Ours is the policy of the daemon.
-func Ours(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
+func Daemon(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
 	return rules.New(seed, settings)
 }
 
@@ -61,7 +61,7 @@
 const binSpan rules.Millis = 500
 
 // Turned is a change of a breaker.
-type Turned struct {
+type BreakerChange struct {
 	At          rules.Millis `json:"at"`
 	Sender      int          `json:"sender"`
 	Destination int          `json:"destination"`
@@ -76,72 +76,72 @@
 	All        results.Share   `json:"all"`
 	Grades     []results.Share `json:"grades"`
 	Well, Sick results.Share
-	Handed     int            `json:"handed"`
-	Taken      int            `json:"taken"`
-	Refused    int            `json:"refused"`
-	Unanswered int            `json:"unanswered"`
-	Dismissed  int            `json:"dismissed"`
-	BrokenOff  int            `json:"broken_off"`
-	Calls      int            `json:"calls"`
-	CallsFull  int            `json:"calls_full"`
-	Further    int            `json:"further"`
-	Second     int            `json:"second_effects"`
-	Short      int            `json:"short"`
-	Falls      int            `json:"falls"` // destinations that fell over on their return
-	Bins       []Bin          `json:"bins,omitempty"`
-	Events     int64          `json:"events"`
-	Wall       time.Duration  `json:"-"`
-	Broken     bool           `json:"broken,omitempty"` // ended before its time
-	Turns      []Turned       `json:"-"`
-	Breaches   []audit.Breach `json:"breaches,omitempty"`
-	View       audit.View     `json:"-"`
+	Handed     int             `json:"handed"`
+	Taken      int             `json:"taken"`
+	Refused    int             `json:"refused"`
+	Unanswered int             `json:"unanswered"`
+	Dismissed  int             `json:"dismissed"`
+	BrokenOff  int             `json:"broken_off"`
+	Calls      int             `json:"calls"`
+	CallsFull  int             `json:"calls_full"`
+	Further    int             `json:"further"`
+	Second     int             `json:"second_effects"`
+	Short      int             `json:"short"`
+	Falls      int             `json:"falls"` // destinations that fell over on their return
+	Bins       []Bin           `json:"bins,omitempty"`
+	Events     int64           `json:"events"`
+	Wall       time.Duration   `json:"-"`
+	Broken     bool            `json:"broken,omitempty"` // ended before its time
+	Turns      []BreakerChange `json:"-"`
+	Breaches   []audit.Breach  `json:"breaches,omitempty"`
+	View       audit.View      `json:"-"`
 }
 
 // The nodes: clients with the platform, then the senders, then the sites.
 const (
-	outside     = 0
-	firstSender = 1
+	outsideNode     = 0
+	firstSenderNode = 1
 )
 
 // world is a scenario's world with what all nodes may read.
 type world struct {
 	*scenario.World
-	options   Options
-	record    bool
-	turn      rules.Millis
-	names     []string // receivers' names by their ids
-	ids       map[string]rules.ReceiverID
-	destOf    []int32 // by receiver
-	apart     []bool  // by destination
-	kinds     []rules.KindID
-	firstList rules.ListTold
+	options       Options
+	record        bool
+	turnInterval  rules.Millis
+	receiverNames []string // receivers' names by their ids
+	receiverIDs   map[string]rules.ReceiverID
+	destinationOf []int32 // by receiver
+	apart         []bool  // by destination
+	kinds         []rules.KindID
+	firstList     rules.ListTold
 }
 
-func (w *world) receiver(name string) rules.ReceiverID { return w.ids[name] }
+func (w *world) receiver(name string) rules.ReceiverID { return w.receiverIDs[name] }
 
-func (w *world) newReceiver(name string, destination int) {
-	if _, known := w.ids[name]; known {
+func (w *world) addReceiver(name string, destination int) {
+	if _, known := w.receiverIDs[name]; known {
 		return
 	}
-	w.ids[name] = rules.ReceiverID(len(w.names))
-	w.names = append(w.names, name)
-	w.destOf = append(w.destOf, int32(destination))
+	w.receiverIDs[name] = rules.ReceiverID(len(w.receiverNames))
+	w.receiverNames = append(w.receiverNames, name)
+	w.destinationOf = append(w.destinationOf, int32(destination))
 }
 
-func (w *world) siteOf(destination int) int32 {
-	return int32(firstSender + w.Senders + destination - 1)
+func (w *world) siteNode(destination int) int32 {
+	return int32(firstSenderNode + w.Senders + destination - 1)
 }
 
-func (w *world) sick(destination int) bool {
+func (w *world) isFailing(destination int) bool {
 	if w.options.Sick != nil {
 		return w.options.Sick(destination)
 	}
 	return len(w.Destinations[destination-1].Faults) > 0
 }
 
-func (w *world) entry(name, standing string) rules.Entry {
-	id := w.ids[name]
-	d := int(w.destOf[id])
+func (w *world) listEntry(name, standing string) rules.Entry {
+	id := w.receiverIDs[name]
+	d := int(w.destinationOf[id])
 	e := rules.Entry{Receiver: id, Destination: rules.DestinationID(d), Kind: w.kinds[d], ListedRate: w.Destinations[d-1].Group.Shape.Limit}
 	switch standing {
 	case "ready":
@@ -152,107 +152,107 @@
 	return e
 }
 
-func (w *world) policy(seed uint64, settings rules.Settings, began rules.Millis) Decider {
+func (w *world) newDecider(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider {
 	if w.options.Policy != nil {
-		return w.options.Policy(seed, settings, began)
+		return w.options.Policy(seed, settings, startedAt)
 	}
-	return Ours(seed, settings, began)
+	return Daemon(seed, settings, startedAt)
 }
 
-func seedOf(seed uint64, sender int, starts uint64) uint64 {
-	return scenario.Chance(seed, 1<<42+uint64(sender)+starts<<32).Uint64()
+func senderSeed(seed uint64, sender int, startCount uint64) uint64 {
+	return scenario.Chance(seed, 1<<42+uint64(sender)+startCount<<32).Uint64()
 }
 
-func millisOf(d time.Duration) rules.Millis { return rules.Millis(d) / rules.Millis(time.Millisecond) }
+func toMillis(d time.Duration) rules.Millis { return rules.Millis(d) / rules.Millis(time.Millisecond) }
 
 // Run plays a scenario. A context that ends breaks it off: the result then tells what was so far, and is Broken.
-func Run(ctx context.Context, s *scenario.Scenario, o Options) *Result {
-	began := time.Now()
-	if o.Network.Delay <= 0 {
-		o.Network = Loopback
+func Run(ctx context.Context, played *scenario.Scenario, options Options) *Result {
+	startedAt := time.Now()
+	if options.Network.Delay <= 0 {
+		options.Network = Loopback
 	}
-	workers := o.Workers
+	workers := options.Workers
 	if workers < 1 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	w := &world{World: scenario.Lay(s), options: o, record: o.Record, turn: s.Settings.Tick / 10, ids: map[string]rules.ReceiverID{}}
-	w.apart, w.kinds = make([]bool, len(w.Destinations)+1), make([]rules.KindID, len(w.Destinations)+1)
+	run := &world{World: scenario.Lay(played), options: options, record: options.Record, turnInterval: played.Settings.Tick / 10, receiverIDs: map[string]rules.ReceiverID{}}
+	run.apart, run.kinds = make([]bool, len(run.Destinations)+1), make([]rules.KindID, len(run.Destinations)+1)
 	// Number 0 is nobody's, so that no receiver is taken for none.
-	w.names, w.destOf = []string{""}, []int32{0}
-	for _, d := range w.Destinations {
-		if k := slices.Index(w.Names.Kinds, d.Group.Kind); k >= 0 {
-			w.kinds[d.Number], w.apart[d.Number] = rules.KindID(k), w.Settings.Kinds[k].Apart
+	run.receiverNames, run.destinationOf = []string{""}, []int32{0}
+	for _, d := range run.Destinations {
+		if k := slices.Index(run.Names.Kinds, d.Group.Kind); k >= 0 {
+			run.kinds[d.Number], run.apart[d.Number] = rules.KindID(k), run.Settings.Kinds[k].Apart
 		} else {
-			w.kinds[d.Number] = rules.KindID(len(w.Names.Kinds))
+			run.kinds[d.Number] = rules.KindID(len(run.Names.Kinds))
 		}
 		for _, name := range d.Receivers {
-			w.newReceiver(name, d.Number)
+			run.addReceiver(name, d.Number)
 		}
 	}
-	w.firstList.Whole = true
-	for _, d := range w.Destinations {
+	run.firstList.Whole = true
+	for _, d := range run.Destinations {
 		for _, name := range d.Receivers {
-			w.firstList.Entries = append(w.firstList.Entries, w.entry(name, "ready"))
+			run.firstList.Entries = append(run.firstList.Entries, run.listEntry(name, "ready"))
 		}
 	}
-	nodes := firstSender + w.Senders + len(w.Destinations)
+	nodes := firstSenderNode + run.Senders + len(run.Destinations)
 	workers = max(min(workers, nodes/8), 1)
-	e := newEngine(o.Network.Delay, nodes, workers, func(id int) int { return id % workers })
+	eng := newEngine(options.Network.Delay, nodes, workers, func(id int) int { return id % workers })
 	port := func(id int) port {
-		return port{id: int32(id), own: e.home[id], e: e, net: o.Network, draw: rand.New(rand.NewPCG(s.Seed, 1<<43+uint64(id)))}
+		return port{id: int32(id), worker: eng.workerOf[id], engine: eng, network: options.Network, rng: rand.New(rand.NewPCG(played.Seed, 1<<43+uint64(id)))}
 	}
-	c := newClient(w, port(outside))
-	e.nodes[outside] = c
+	clients := newClient(run, port(outsideNode))
+	eng.nodes[outsideNode] = clients
 	var senders []*sender
-	for i := range w.Senders {
-		one := newSender(w, port(firstSender+i), i)
+	for i := range run.Senders {
+		one := newSender(run, port(firstSenderNode+i), i)
 		senders = append(senders, one)
-		e.nodes[firstSender+i] = one
+		eng.nodes[firstSenderNode+i] = one
 	}
 	var sites []*site
-	for _, d := range w.Destinations {
-		one := newSite(w, port(int(w.siteOf(d.Number))), d)
+	for _, d := range run.Destinations {
+		one := newSite(run, port(int(run.siteNode(d.Number))), d)
 		sites = append(sites, one)
-		e.nodes[one.id] = one
+		eng.nodes[one.id] = one
 	}
 	// Messages of the beginning went to workers' boxes.
-	for _, from := range e.workers {
-		for place, events := range from.out {
+	for _, from := range eng.workers {
+		for place, events := range from.outbox {
 			for _, x := range events {
-				e.workers[place].push(x)
+				eng.workers[place].push(x)
 			}
-			from.out[place] = nil
+			from.outbox[place] = nil
 		}
 	}
-	until := w.Length + w.Settle
-	whole := e.run(until, func(rules.Millis) bool { return ctx.Err() != nil })
-	c.own.now = max(c.own.now, until)
-	c.settle(true)
-	r := &Result{Scenario: s.Name, Seed: s.Seed, All: c.all.Share(), Well: c.well.Share(), Sick: c.sick.Share(), Handed: c.counted.handed,
-		Taken: c.counted.taken, Refused: c.counted.refused, Unanswered: c.counted.unanswered, Dismissed: c.counted.dismissed,
-		BrokenOff: c.counted.brokenOff, Bins: c.bins, Events: e.events(), Broken: !whole}
-	for _, g := range c.grade {
-		r.Grades = append(r.Grades, g.Share())
+	until := run.Length + run.Settle
+	whole := eng.run(until, func(rules.Millis) bool { return ctx.Err() != nil })
+	clients.worker.now = max(clients.worker.now, until)
+	clients.settleEffects(true)
+	result := &Result{Scenario: played.Name, Seed: played.Seed, All: clients.all.Share(), Well: clients.healthy.Share(), Sick: clients.failing.Share(), Handed: clients.counts.submitted,
+		Taken: clients.counts.accepted, Refused: clients.counts.refused, Unanswered: clients.counts.unanswered, Dismissed: clients.counts.dismissed,
+		BrokenOff: clients.counts.brokenOff, Bins: clients.bins, Events: eng.events(), Broken: !whole}
+	for _, g := range clients.grades {
+		result.Grades = append(result.Grades, g.Share())
 	}
 	for _, one := range sites {
-		r.Calls += one.counted.calls
-		r.CallsFull += one.counted.full
-		r.Further += one.counted.further
-		r.Second += one.counted.second
-		r.Falls += len(one.falls)
+		result.Calls += one.counts.calls
+		result.CallsFull += one.counts.fullResponses
+		result.Further += one.counts.furtherCalls
+		result.Second += one.counts.secondEffects
+		result.Falls += len(one.overloads)
 	}
 	for _, one := range senders {
-		r.Short += one.counted.short
-		r.Turns = append(r.Turns, one.turns...)
+		result.Short += one.counts.localShortages
+		result.Turns = append(result.Turns, one.breakerChanges...)
 	}
-	if o.Record {
-		r.View = view(c, senders, sites)
+	if options.Record {
+		result.View = view(clients, senders, sites)
 		if whole {
-			r.Breaches = r.View.Check(w.Settings, tolerances, until)
+			result.Breaches = result.View.Check(run.Settings, tolerances, until)
 		}
 	}
-	r.Wall = time.Since(began)
-	return r
+	result.Wall = time.Since(startedAt)
+	return result
 }
 
 // tolerances of the auditor: nothing is late for want of a processor here, but messages still take their time.
@@ -260,21 +260,21 @@
 
 // view puts together what all nodes saw.
 func view(c *client, senders []*sender, sites []*site) audit.View {
-	v := audit.View{Ends: c.ends, Shut: c.shut}
-	for _, h := range c.hands {
-		v.Hands = append(v.Hands, audit.Hand{ID: h.id, Effect: effectName(h.eff), Mark: h.eff.mark, Grade: h.eff.Grade,
-			Portfolio: h.eff.Portfolio, Key: h.eff.Key, Dest: h.eff.Destination, Sender: h.sender, At: h.at, Until: h.until, Intended: h.eff.At,
-			Again: h.again, Status: h.status, Answered: h.answeredAt})
+	v := audit.View{Ends: c.outcomes, Shut: c.refusals}
+	for _, h := range c.submissions {
+		v.Hands = append(v.Hands, audit.Hand{ID: h.id, Effect: effectName(h.effect), Mark: h.effect.idempotencyKey, Grade: h.effect.Grade,
+			Portfolio: h.effect.Portfolio, Key: h.effect.Key, Dest: h.effect.Destination, Sender: h.sender, At: h.submittedAt, Until: h.deadline, Intended: h.effect.At,
+			Again: h.resubmission, Status: h.status, Answered: h.answeredAt})
 	}
 	for _, s := range sites {
-		for _, one := range s.calls {
-			v.Calls = append(v.Calls, one.noted)
+		for _, one := range s.recordedCalls {
+			v.Calls = append(v.Calls, one.record)
 		}
-		v.Falls = append(v.Falls, s.falls...)
+		v.Falls = append(v.Falls, s.overloads...)
 	}
 	for _, s := range senders {
-		v.Told = append(v.Told, s.told...)
-		v.Lives = append(v.Lives, s.lives...)
+		v.Told = append(v.Told, s.listRecords...)
+		v.Lives = append(v.Lives, s.lifeRecords...)
 	}
 	return v
 }
--- a/internal/model/outside.go
+++ b/internal/model/outside.go
@@ -14,226 +14,226 @@
 
 // Events at the outside: clients and the platform.
 const (
-	evArrival  kind = iota + 60 // its own: the next notice is due
-	evAgain                     // its own, hand: a client hands in once more
-	evAnswered                  // hand, n: the status, more: the wait told
-	evPatience                  // its own, hand: its client waits no longer
-	evEnd                       // hand, n, more: an end
-	evWatch                     // a sender asks for changes of the list
-	evStep                      // its own, more: a step of the script
-	evDead                      // its own, n: clients have noticed that a sender is dead
-	evSettled                   // its own: look what notices came to
+	evArrival            eventKind = iota + 60 // its own: the next notice is due
+	evResubmit                                 // its own, hand: a client hands in once more
+	evSubmissionAnswered                       // hand, n: the status, more: the wait told
+	evClientTimeout                            // its own, hand: its client waits no longer
+	evOutcome                                  // hand, n, more: an end
+	evWatchList                                // a sender asks for changes of the list
+	evScriptStep                               // its own, more: a step of the script
+	evSenderKnownDown                          // its own, n: clients have noticed that a sender is dead
+	evSettle                                   // its own: look what notices came to
 )
 
 // lostAnswer is the status of a hand-in that the sender read and never answered; 0: it can't have read it.
-const lostAnswer = -1
+const statusNoAnswer = -1
 
 // effect is what a client wants done, however often it is handed in.
 type effect struct {
 	scenario.Arrival
-	number int
-	mark   string
+	number         int
+	idempotencyKey string
 
 	// The site's.
-	delivered rules.Millis // first; below 0: not
-	ran       int
+	deliveredAt rules.Millis // first; below 0: not
+	runs        int
 }
 
 // hand is one hand-in of an effect.
-type hand struct {
-	eff        *effect
-	id         string // where all is recorded
-	at, until  rules.Millis
-	again      bool
-	sender     int
-	status     int
-	answeredAt rules.Millis
-	settled    bool // answered, or its client waits no longer
-	called     bool // the site's
+type submission struct {
+	effect                *effect
+	id                    string // where all is recorded
+	submittedAt, deadline rules.Millis
+	resubmission          bool
+	sender                int
+	status                int
+	answeredAt            rules.Millis
+	settled               bool // answered, or its client waits no longer
+	called                bool // the site's
 }
 
 // endOf is an end as a sender tells it.
-type endOf struct {
-	outcome string
-	retry   rules.Millis
+type outcomeReport struct {
+	outcome    string
+	retryAfter rules.Millis
 }
 
 // client is all clients, and the platform.
 type client struct {
 	port
-	w        *world
-	arrivals *scenario.Arrivals
-	next     scenario.Arrival
-	more     bool
-	draw     *rand.Rand
-	numbers  int
-	dealt    int
-	state    []int8 // of each sender: 0 serves, 1 dead and not known to be, 2 dead
-	watches  []bool
-	script   []step
-	listed   []audit.Told // in force now, in the order told
+	world        *world
+	arrivals     *scenario.Arrivals
+	nextArrival  scenario.Arrival
+	hasNext      bool
+	rng          *rand.Rand
+	effectCount  int
+	dealCount    int
+	senderStates []int8 // of each sender: 0 serves, 1 dead and not known to be, 2 dead
+	watching     []bool
+	script       []scriptStep
+	currentList  []audit.Told // in force now, in the order told
 
-	open  []*effect // by the time at which all is over
-	all   *results.Tally
-	grade []*results.Tally
-	well  *results.Tally
-	sick  *results.Tally
-	bins  []Bin
+	openEffects []*effect // by the time at which all is over
+	all         *results.Tally
+	grades      []*results.Tally
+	healthy     *results.Tally
+	failing     *results.Tally
+	bins        []Bin
 
-	hands   []*hand
-	ends    []audit.End
-	shut    []audit.Shut
-	counted struct{ handed, taken, refused, unanswered, dismissed, brokenOff int }
+	submissions []*submission
+	outcomes    []audit.End
+	refusals    []audit.Shut
+	counts      struct{ submitted, accepted, refused, unanswered, dismissed, brokenOff int }
 }
 
 // step is a change that the script makes at a time.
-type step struct {
+type scriptStep struct {
 	at  rules.Millis
 	run func()
 }
 
 func newClient(w *world, p port) *client {
-	c := &client{port: p, w: w, arrivals: w.Arrivals(), draw: scenario.Chance(w.Seed, 1<<40), state: make([]int8, w.Senders),
-		watches: make([]bool, w.Senders), all: results.NewTally("all"), well: results.NewTally("well"), sick: results.NewTally("sick")}
+	c := &client{port: p, world: w, arrivals: w.Arrivals(), rng: scenario.Chance(w.Seed, 1<<40), senderStates: make([]int8, w.Senders),
+		watching: make([]bool, w.Senders), all: results.NewTally("all"), healthy: results.NewTally("well"), failing: results.NewTally("sick")}
 	for _, name := range w.Names.Grades {
-		c.grade = append(c.grade, results.NewTally(name))
+		c.grades = append(c.grades, results.NewTally(name))
 	}
 	c.bins = make([]Bin, int(w.Length/binSpan)+1)
-	c.writeScript()
+	c.buildScript()
 	for i, s := range c.script {
-		c.self(s.at, event{kind: evStep, n: int64(i)})
+		c.schedule(s.at, event{kind: evScriptStep, value: int64(i)})
 	}
-	c.advance()
-	c.self(1000, event{kind: evSettled})
+	c.scheduleNextArrival()
+	c.schedule(1000, event{kind: evSettle})
 	return c
 }
 
-func (c *client) advance() {
-	if c.next, c.more = c.arrivals.Next(); c.more {
-		c.self(max(c.next.At-c.now(), 0), event{kind: evArrival})
+func (c *client) scheduleNextArrival() {
+	if c.nextArrival, c.hasNext = c.arrivals.Next(); c.hasNext {
+		c.schedule(max(c.nextArrival.At-c.now(), 0), event{kind: evArrival})
 	}
 }
 
 func (c *client) handle(e *event) {
 	switch e.kind {
 	case evArrival:
-		c.numbers++
-		eff := &effect{Arrival: c.next, number: c.numbers, delivered: -1}
-		if c.w.record && c.w.Settings.Grades[eff.Grade].Repeat == rules.Numbered {
-			eff.mark = fmt.Sprintf("m%d", eff.number)
+		c.effectCount++
+		eff := &effect{Arrival: c.nextArrival, number: c.effectCount, deliveredAt: -1}
+		if c.world.record && c.world.Settings.Grades[eff.Grade].Repeat == rules.Numbered {
+			eff.idempotencyKey = fmt.Sprintf("m%d", eff.number)
 		}
-		c.open = append(c.open, eff)
-		c.hand(eff, false)
-		c.advance()
-	case evAgain:
-		c.hand(e.hand.eff, true)
-	case evAnswered:
-		c.answered(e.hand, int(e.n), e.more.(rules.Millis))
-	case evPatience:
-		if !e.hand.settled {
-			c.answered(e.hand, lostAnswer, 0)
+		c.openEffects = append(c.openEffects, eff)
+		c.submit(eff, false)
+		c.scheduleNextArrival()
+	case evResubmit:
+		c.submit(e.submission.effect, true)
+	case evSubmissionAnswered:
+		c.handleAnswer(e.submission, int(e.value), e.payload.(rules.Millis))
+	case evClientTimeout:
+		if !e.submission.settled {
+			c.handleAnswer(e.submission, statusNoAnswer, 0)
 		}
-	case evEnd:
-		c.end(e)
-	case evWatch:
-		c.watch(int(e.from) - firstSender)
-	case evStep:
-		c.script[e.n].run()
-	case evDead:
-		if c.state[e.n] == 1 {
-			c.state[e.n] = 2
+	case evOutcome:
+		c.handleOutcome(e)
+	case evWatchList:
+		c.startWatch(int(e.from) - firstSenderNode)
+	case evScriptStep:
+		c.script[e.value].run()
+	case evSenderKnownDown:
+		if c.senderStates[e.value] == 1 {
+			c.senderStates[e.value] = 2
 		}
-	case evSettled:
-		c.settle(false)
-		c.self(1000, event{kind: evSettled})
+	case evSettle:
+		c.settleEffects(false)
+		c.schedule(1000, event{kind: evSettle})
 	}
 }
 
 // choose deals notices out over the senders, but for those known to be dead.
-func (c *client) choose() int {
-	n := c.w.Senders
-	c.dealt++
+func (c *client) chooseSender() int {
+	n := c.world.Senders
+	c.dealCount++
 	for i := range n {
-		if s := (c.dealt + i) % n; c.state[s] < 2 {
+		if s := (c.dealCount + i) % n; c.senderStates[s] < 2 {
 			return s
 		}
 	}
-	return c.dealt % n
+	return c.dealCount % n
 }
 
 // hand hands an effect in.
-func (c *client) hand(eff *effect, again bool) {
+func (c *client) submit(eff *effect, resubmission bool) {
 	now := c.now()
-	until := eff.At + c.w.Settings.Grades[eff.Grade].ClientTimeout
+	until := eff.At + c.world.Settings.Grades[eff.Grade].ClientTimeout
 	if until-now < 1 {
 		return
 	}
-	h := &hand{eff: eff, at: now, until: until, again: again, sender: c.choose()}
-	c.counted.handed++
-	if c.w.record {
-		h.id = fmt.Sprintf("n%d-e%d", len(c.hands)+1, eff.number)
-		c.hands = append(c.hands, h)
+	h := &submission{effect: eff, submittedAt: now, deadline: until, resubmission: resubmission, sender: c.chooseSender()}
+	c.counts.submitted++
+	if c.world.record {
+		h.id = fmt.Sprintf("n%d-e%d", len(c.submissions)+1, eff.number)
+		c.submissions = append(c.submissions, h)
 	}
-	c.post(int32(h.sender+firstSender), c.wire(), event{kind: evHand, hand: h})
-	c.self(c.w.Traffic.Patience, event{kind: evPatience, hand: h})
+	c.post(int32(h.sender+firstSenderNode), c.transitTime(), event{kind: evSubmission, submission: h})
+	c.schedule(c.world.Traffic.Patience, event{kind: evClientTimeout, submission: h})
 }
 
 // answered hears a sender's answer, or that there is none.
-func (c *client) answered(h *hand, status int, after rules.Millis) {
-	if h.settled {
+func (c *client) handleAnswer(sub *submission, status int, retryAfter rules.Millis) {
+	if sub.settled {
 		return
 	}
-	h.settled = true
+	sub.settled = true
 	if status > 0 {
-		h.status, h.answeredAt = status, c.now()
+		sub.status, sub.answeredAt = status, c.now()
 	}
-	grade := c.w.Settings.Grades[h.eff.Grade]
+	grade := c.world.Settings.Grades[sub.effect.Grade]
 	switch {
 	case status == 202:
-		c.counted.taken++
+		c.counts.accepted++
 	case status == 429 || status == 503:
-		c.counted.refused++
-		c.again(h, max(after, 20))
-	case status == 0 || status == lostAnswer && grade.Repeat != rules.AtMostOnce:
-		c.counted.unanswered++
-		c.again(h, 100)
-	case status == lostAnswer:
-		c.counted.unanswered++
+		c.counts.refused++
+		c.resubmitLater(sub, max(retryAfter, 20))
+	case status == 0 || status == statusNoAnswer && grade.Repeat != rules.AtMostOnce:
+		c.counts.unanswered++
+		c.resubmitLater(sub, 100)
+	case status == statusNoAnswer:
+		c.counts.unanswered++
 	}
 }
 
 // again hands a dismissed effect in once more after a while, if its client wants it and there is time.
-func (c *client) again(h *hand, after rules.Millis) {
-	wants := c.draw.Float64() < c.w.Traffic.Again
-	if wants && c.now()+after < h.until {
-		c.self(after, event{kind: evAgain, hand: h})
+func (c *client) resubmitLater(sub *submission, after rules.Millis) {
+	wants := c.rng.Float64() < c.world.Traffic.Again
+	if wants && c.now()+after < sub.deadline {
+		c.schedule(after, event{kind: evResubmit, submission: sub})
 	}
 }
 
 // end takes an end from a sender.
-func (c *client) end(e *event) {
-	back := event{kind: evEndTaken, n: e.n}
-	sender := int(e.from) - firstSender
-	if _, on := c.active(scenario.EndsRefused); on {
-		c.shut = append(c.shut, audit.Shut{Sender: sender, At: c.now()})
-		back.kind = evEndLost
+func (c *client) handleOutcome(e *event) {
+	back := event{kind: evOutcomeAccepted, value: e.value}
+	sender := int(e.from) - firstSenderNode
+	if _, on := c.activeFault(scenario.EndsRefused); on {
+		c.refusals = append(c.refusals, audit.Shut{Sender: sender, At: c.now()})
+		back.kind = evOutcomeRefused
 	} else {
-		end := e.more.(endOf)
-		if c.w.record {
-			c.ends = append(c.ends, audit.End{ID: e.hand.id, Outcome: end.outcome, Sender: sender, At: c.now()})
+		end := e.payload.(outcomeReport)
+		if c.world.record {
+			c.outcomes = append(c.outcomes, audit.End{ID: e.submission.id, Outcome: end.outcome, Sender: sender, At: c.now()})
 		}
 		if end.outcome == "handed_back" {
-			c.counted.dismissed++
-			c.again(e.hand, max(end.retry, 20))
+			c.counts.dismissed++
+			c.resubmitLater(e.submission, max(end.retryAfter, 20))
 		} else {
-			c.counted.brokenOff++
+			c.counts.brokenOff++
 		}
 	}
-	c.post(e.from, c.wire(), back)
+	c.post(e.from, c.transitTime(), back)
 }
 
-func (c *client) active(kind string) (scenario.Fault, bool) {
-	for _, f := range c.w.Faults {
+func (c *client) activeFault(kind string) (scenario.Fault, bool) {
+	for _, f := range c.world.Faults {
 		if f.Kind == kind && f.Active(c.now()) {
 			return f, true
 		}
@@ -242,153 +242,153 @@
 }
 
 // watch begins to tell a sender changes of the list; what changed before it asked is told whole.
-func (c *client) watch(sender int) {
-	to := int32(sender + firstSender)
-	if f, on := c.active(scenario.ListSilent); on && c.w.Settings.ListOnAsk {
-		c.post(to, min(f.Until()-c.now(), 3000), event{kind: evNoList})
+func (c *client) startWatch(sender int) {
+	to := int32(sender + firstSenderNode)
+	if f, on := c.activeFault(scenario.ListSilent); on && c.world.Settings.ListOnAsk {
+		c.post(to, min(f.Until()-c.now(), 3000), event{kind: evListFailed})
 		return
 	}
-	c.watches[sender] = true
-	c.post(to, c.wire(), event{kind: evList, more: c.list(true, c.listed)})
+	c.watching[sender] = true
+	c.post(to, c.transitTime(), event{kind: evListReport, payload: c.newListReport(true, c.currentList)})
 }
 
-func (c *client) list(whole bool, members []audit.Told) toldOf {
-	t := toldOf{told: rules.ListTold{Whole: whole}, members: slices.Clone(members)}
-	for _, m := range members {
-		t.told.Entries = append(t.told.Entries, c.w.entry(m.Receiver, m.Standing))
+func (c *client) newListReport(whole bool, receivers []audit.Told) listReport {
+	t := listReport{list: rules.ListTold{Whole: whole}, receivers: slices.Clone(receivers)}
+	for _, m := range receivers {
+		t.list.Entries = append(t.list.Entries, c.world.listEntry(m.Receiver, m.Standing))
 	}
 	return t
 }
 
 // change tells all that watch of changes; while the platform says nothing, or nothing that can be read, they wait.
-func (c *client) change(members []audit.Told) {
-	for _, m := range members {
-		i := slices.IndexFunc(c.listed, func(o audit.Told) bool { return o.Receiver == m.Receiver })
+func (c *client) applyListChange(changes []audit.Told) {
+	for _, m := range changes {
+		i := slices.IndexFunc(c.currentList, func(o audit.Told) bool { return o.Receiver == m.Receiver })
 		switch {
 		case i >= 0 && m.Standing == "gone":
-			c.listed = slices.Delete(c.listed, i, i+1)
+			c.currentList = slices.Delete(c.currentList, i, i+1)
 		case i >= 0:
-			c.listed[i] = m
+			c.currentList[i] = m
 		case m.Standing != "gone":
-			c.listed = append(c.listed, m)
+			c.currentList = append(c.currentList, m)
 		}
 	}
-	late := rules.Millis(0)
+	delay := rules.Millis(0)
 	for _, kind := range []string{scenario.ListSilent, scenario.ListGarbage} {
-		if f, on := c.active(kind); on {
-			late = max(late, f.Until()-c.now())
+		if f, on := c.activeFault(kind); on {
+			delay = max(delay, f.Until()-c.now())
 		}
 	}
-	for sender, watches := range c.watches {
+	for sender, watches := range c.watching {
 		if watches {
-			c.post(int32(sender+firstSender), late+c.wire(), event{kind: evList, more: c.list(false, members)})
+			c.post(int32(sender+firstSenderNode), delay+c.transitTime(), event{kind: evListReport, payload: c.newListReport(false, changes)})
 		}
 	}
 }
 
 // writeScript writes down what the platform and the senders' faults do at what times.
-func (c *client) writeScript() {
-	add := func(at rules.Millis, run func()) { c.script = append(c.script, step{at, run}) }
-	for _, d := range c.w.Destinations {
+func (c *client) buildScript() {
+	add := func(at rules.Millis, run func()) { c.script = append(c.script, scriptStep{at, run}) }
+	for _, d := range c.world.Destinations {
 		for _, name := range d.Receivers {
-			c.listed = append(c.listed, audit.Told{Receiver: name, Standing: "ready"})
+			c.currentList = append(c.currentList, audit.Told{Receiver: name, Standing: "ready"})
 		}
-		site := c.w.siteOf(d.Number)
+		site := c.world.siteNode(d.Number)
 		for n, f := range d.Faults {
 			old := d.Receivers
-			fresh := make([]string, len(old))
+			replacements := make([]string, len(old))
 			for i, name := range old {
-				fresh[i] = fmt.Sprintf("%s+%d", name, n+1)
-				c.w.newReceiver(fresh[i], d.Number)
+				replacements[i] = fmt.Sprintf("%s+%d", name, n+1)
+				c.world.addReceiver(replacements[i], d.Number)
 			}
-			list := func(names []string, standing string) func() {
+			listChange := func(names []string, standing string) func() {
 				return func() {
 					var members []audit.Told
 					for _, name := range names {
 						members = append(members, audit.Told{Receiver: name, Standing: standing})
 					}
-					c.change(members)
+					c.applyListChange(members)
 				}
 			}
-			each := func(names []string, k kind) func() {
+			eachReceiver := func(names []string, k eventKind) func() {
 				return func() {
 					for _, name := range names {
-						c.post(site, c.wire(), event{kind: k, n: int64(c.w.receiver(name))})
+						c.post(site, c.transitTime(), event{kind: k, value: int64(c.world.receiver(name))})
 					}
 				}
 			}
-			late := c.w.ListDelay
+			listDelay := c.world.ListDelay
 			switch f.Kind {
 			case scenario.Drain:
-				add(f.At, each(fresh, evOpen))
-				add(f.At+late, func() { list(old, "draining")(); list(fresh, "ready")() })
-				add(f.Until(), list(old, "gone"))
-				add(f.Until()+late+1500, each(old, evGone))
+				add(f.At, eachReceiver(replacements, evReceiverAdded))
+				add(f.At+listDelay, func() { listChange(old, "draining")(); listChange(replacements, "ready")() })
+				add(f.Until(), listChange(old, "gone"))
+				add(f.Until()+listDelay+1500, eachReceiver(old, evReceiverRemoved))
 			case scenario.Vanish:
-				add(f.At, each(old, evGone))
-				add(f.At+late, list(old, "gone"))
-				add(f.Until(), each(fresh, evOpen))
-				add(f.Until()+late, list(fresh, "ready"))
+				add(f.At, eachReceiver(old, evReceiverRemoved))
+				add(f.At+listDelay, listChange(old, "gone"))
+				add(f.Until(), eachReceiver(replacements, evReceiverAdded))
+				add(f.Until()+listDelay, listChange(replacements, "ready"))
 			}
 		}
 	}
-	for i, f := range c.w.Faults {
-		for _, n := range c.w.Struck[i] {
-			to := int32(n + firstSender)
-			tell := func(k kind, more int64) { c.post(to, 0, event{kind: k, n: more}) }
+	for i, f := range c.world.Faults {
+		for _, n := range c.world.Struck[i] {
+			to := int32(n + firstSenderNode)
+			notify := func(k eventKind, more int64) { c.post(to, 0, event{kind: k, value: more}) }
 			restart := func() { // with the list as it is now
-				c.post(to, 0, event{kind: evRestart, more: c.list(true, c.listed).told})
-				c.state[n] = 0
+				c.post(to, 0, event{kind: evRestart, payload: c.newListReport(true, c.currentList).list})
+				c.senderStates[n] = 0
 			}
-			away := func() {
-				c.state[n] = 1
-				c.self(c.w.FrontNotice, event{kind: evDead, n: int64(n)})
+			takeDown := func() {
+				c.senderStates[n] = 1
+				c.schedule(c.world.FrontNotice, event{kind: evSenderKnownDown, value: int64(n)})
 			}
 			switch f.Kind {
 			case scenario.Kill:
-				add(f.At, func() { away(); tell(evKill, 0) })
+				add(f.At, func() { takeDown(); notify(evKill, 0) })
 				add(f.Until(), restart)
 			case scenario.Stop:
-				add(f.At, func() { away(); tell(evLeave, 0) })
+				add(f.At, func() { takeDown(); notify(evShutdown, 0) })
 				add(f.Until(), restart)
 			case scenario.Freeze:
-				add(f.At, func() { tell(evFreeze, 0) })
-				add(f.Until(), func() { tell(evThaw, 0) })
+				add(f.At, func() { notify(evPause, 0) })
+				add(f.Until(), func() { notify(evResume, 0) })
 			case scenario.FewFiles:
-				add(f.At, func() { tell(evFiles, int64(f.Size)) })
-				add(f.Until(), func() { tell(evFiles, -1) })
+				add(f.At, func() { notify(evDescriptorLimit, int64(f.Size)) })
+				add(f.Until(), func() { notify(evDescriptorLimit, -1) })
 			}
 		}
 	}
-	slices.SortStableFunc(c.script, func(a, b step) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(c.script, func(a, b scriptStep) int { return cmp.Compare(a.at, b.at) })
 }
 
 // settle counts the effects whose time is over; with all, the others too.
-func (c *client) settle(all bool) {
-	kept := c.open[:0]
-	for _, eff := range c.open {
-		g := c.w.Settings.Grades[eff.Grade]
+func (c *client) settleEffects(all bool) {
+	kept := c.openEffects[:0]
+	for _, eff := range c.openEffects {
+		g := c.world.Settings.Grades[eff.Grade]
 		if !all && c.now() < eff.At+g.ClientTimeout+1000 {
 			kept = append(kept, eff)
 			continue
 		}
 		earned := 0.0
-		if eff.delivered >= 0 {
-			earned = c.w.Worth(eff.Grade, eff.delivered-eff.At)
+		if eff.deliveredAt >= 0 {
+			earned = c.world.Worth(eff.Grade, eff.deliveredAt-eff.At)
 		}
-		part := c.well
-		if c.w.sick(eff.Destination) {
-			part = c.sick
+		part := c.healthy
+		if c.world.isFailing(eff.Destination) {
+			part = c.failing
 		}
-		for _, t := range []*results.Tally{c.all, c.grade[eff.Grade], part} {
-			t.Add(g.Credit, earned, eff.delivered >= 0, eff.delivered-eff.At)
+		for _, t := range []*results.Tally{c.all, c.grades[eff.Grade], part} {
+			t.Add(g.Credit, earned, eff.deliveredAt >= 0, eff.deliveredAt-eff.At)
 		}
 		b := &c.bins[min(int(eff.At/binSpan), len(c.bins)-1)]
 		b.Asked += g.Credit
 		b.Earned += earned
 	}
-	clear(c.open[len(kept):])
-	c.open = kept
+	clear(c.openEffects[len(kept):])
+	c.openEffects = kept
 }
 
 func effectName(e *effect) string { return fmt.Sprintf("e%d", e.number) }
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -12,90 +12,90 @@
 
 // Events at a sender.
 const (
-	evUp       kind = iota + 20 // conn: it came up
-	evRefused                   // conn: it did not
-	evReset                     // conn: it was reset
-	evReply                     // call, more: a reply
-	evHand                      // hand: a client hands a notice in
-	evTurn                      // its own: a turn is due
-	evTimer                     // its own: the decisions asked for it
-	evWake                      // its own: something times out
-	evList                      // more: a rules.ListTold with what was told
-	evNoList                    // the list could not be had
-	evEndTaken                  // n: the platform took the end of a notice
-	evEndLost                   // n: it did not
-	evTellEnd                   // its own, n: an end is told again
+	evConnected       eventKind = iota + 20 // conn: it came up
+	evConnectRefused                        // conn: it did not
+	evConnReset                             // conn: it was reset
+	evResponse                              // call, more: a reply
+	evSubmission                            // hand: a client hands a notice in
+	evTurn                                  // its own: a turn is due
+	evDeciderTimer                          // its own: the decisions asked for it
+	evTimeoutCheck                          // its own: something times out
+	evListReport                            // more: a rules.ListTold with what was told
+	evListFailed                            // the list could not be had
+	evOutcomeAccepted                       // n: the platform took the end of a notice
+	evOutcomeRefused                        // n: it did not
+	evReportOutcome                         // its own, n: an end is told again
 	evKill
 	evRestart
-	evLeave
-	evExit // its own: out, whatever is still open
-	evFreeze
-	evThaw
-	evFiles // n: so many descriptors more; below 0: as many as ever
+	evShutdown
+	evExitCheck // its own: out, whatever is still open
+	evPause
+	evResume
+	evDescriptorLimit // n: so many descriptors more; below 0: as many as ever
 )
 
 // held is a notice that a sender owes its end, with what its ledger would have of it.
-type held struct {
-	hand     *hand
-	n        rules.NoticeID
-	until    rules.Millis
-	waited   rules.Millis // to be read
-	call     *call
-	trips    int            // made
-	ran      []rules.Millis // when those that may have run were sent
-	recorded bool           // the trip that is out is among them
-	over     bool
-	ended    string // the end that the platform has not taken yet
-	retry    rules.Millis
-	back     rules.Millis // pause before the end is told again
-	taken    bool         // the platform has it
+type heldNotice struct {
+	submission      *submission
+	id              rules.NoticeID
+	deadline        rules.Millis
+	waited          rules.Millis // to be read
+	call            *call
+	trips           int            // made
+	mayHaveRunAt    []rules.Millis // when those that may have run were sent
+	tripRecorded    bool           // the trip that is out is among them
+	done            bool
+	outcome         string // the end that the platform has not taken yet
+	retryAfter      rules.Millis
+	reportBackoff   rules.Millis // pause before the end is told again
+	outcomeAccepted bool         // the platform has it
 }
 
 // told is what the list said, for the record.
-type toldOf struct {
-	told    rules.ListTold
-	members []audit.Told
+type listReport struct {
+	list      rules.ListTold
+	receivers []audit.Told
 }
 
 // sender is a process that runs a Decider, as internal/loop does on sockets.
 type sender struct {
 	port
-	w       *world
-	number  int
-	limits  limits.Limits
-	decider Decider
-	starts  uint64 // so many times it was started
-	began   rules.Millis
-
-	alive, frozen, leaving, sending bool
-	restarts                        bool           // once it has left
-	known                           rules.ListTold // the list, as it starts
-	frozenAt                        []event        // what came while it stood still
-	events                          []rules.Event
-	fresh                           []*held
-	notices                         map[rules.NoticeID]*held
-	last                            rules.NoticeID
-	turnDue                         bool
-	lastTurn                        rules.Millis
-	lines                           []*conn
-	idle                            map[rules.ReceiverID][]*conn
-	out                             byDue
-	wakeAt                          rules.Millis
-	files                           int // connections that the descriptors allow
-	room                            float64
-
-	told    []audit.Told
-	lives   []audit.Life
-	turns   []Turned
-	counted struct{ trips, further, short, dismissed, brokenOff, refused, turns int }
+	world      *world
+	number     int
+	limits     limits.Limits
+	decider    Decider
+	startCount uint64 // so many times it was started
+	startedAt  rules.Millis
+
+	alive, paused, shuttingDown, sending bool
+	restartAfterExit                     bool           // once it has left
+	initialList                          rules.ListTold // the list, as it starts
+	deferredEvents                       []event        // what came while it stood still
+	events                               []rules.Event
+	unanswered                           []*heldNotice
+	notices                              map[rules.NoticeID]*heldNotice
+	lastID                               rules.NoticeID
+	turnDue                              bool
+	lastTurnAt                           rules.Millis
+	conns                                []*conn
+	idleConns                            map[rules.ReceiverID][]*conn
+	inFlight                             callsByTimeout
+	timeoutCheckAt                       rules.Millis
+	connLimit                            int // connections that the descriptors allow
+	usedCapacity                         float64
+
+	listRecords    []audit.Told
+	lifeRecords    []audit.Life
+	breakerChanges []BreakerChange
+	counts         struct{ trips, furtherTrips, localShortages, dismissed, brokenOff, refused, turns int }
 }
 
 const never = rules.Millis(1e300)
 
 func newSender(w *world, p port, number int) *sender {
-	s := &sender{port: p, w: w, number: number, notices: map[rules.NoticeID]*held{}, wakeAt: never, known: w.firstList}
+	s := &sender{port: p, world: w, number: number, notices: map[rules.NoticeID]*heldNotice{}, timeoutCheckAt: never, initialList: w.firstList}
 	s.limits = limits.For(w.Machine, w.Settings, connectTime)
-	s.files = s.limits.Receivers
+	s.connLimit = s.limits.Receivers
 	s.start()
 	return s
 }
@@ -105,412 +105,412 @@
 
 // start begins a process: with what the ledger kept of an earlier one.
 func (s *sender) start() {
-	s.starts++
-	settings := s.w.Settings
+	s.startCount++
+	settings := s.world.Settings
 	settings.Slots = min(settings.Slots, s.limits.Receivers-s.limits.Receivers/16)
-	settings.Stall = millisOf(s.limits.Stall)
+	settings.Stall = toMillis(s.limits.Stall)
 	for i := range settings.Kinds {
 		settings.Kinds = slices.Clone(settings.Kinds)
 		settings.Kinds[i].PerCall = 1
 	}
-	s.alive, s.leaving, s.sending, s.began, s.turnDue = true, false, true, s.now(), false
-	s.decider = s.w.policy(seedOf(s.w.Seed, s.number, s.starts), settings, s.now())
-	s.events, s.fresh = nil, nil
-	s.lines, s.idle, s.out, s.wakeAt, s.room = nil, map[rules.ReceiverID][]*conn{}, nil, never, 0
+	s.alive, s.shuttingDown, s.sending, s.startedAt, s.turnDue = true, false, true, s.now(), false
+	s.decider = s.world.newDecider(senderSeed(s.world.Seed, s.number, s.startCount), settings, s.now())
+	s.events, s.unanswered = nil, nil
+	s.conns, s.idleConns, s.inFlight, s.timeoutCheckAt, s.usedCapacity = nil, map[rules.ReceiverID][]*conn{}, nil, never, 0
 	numbers := make([]rules.NoticeID, 0, len(s.notices))
 	for n := range s.notices {
 		numbers = append(numbers, n)
 	}
 	slices.Sort(numbers)
-	s.events = append(s.events, s.known)
+	s.events = append(s.events, s.initialList)
 	for _, n := range numbers {
 		h := s.notices[n]
-		if h.call = nil; h.ended != "" {
-			if h.back = 0; h.taken {
+		if h.call = nil; h.outcome != "" {
+			if h.reportBackoff = 0; h.outcomeAccepted {
 				delete(s.notices, n)
 			} else {
-				s.tellEnd(h)
+				s.reportOutcome(h)
 			}
 			continue
 		}
-		h.recorded = false
-		s.room += s.roomOf(h)
-		e := s.takenEvent(h)
-		e.Trips, e.Ran = h.trips, len(h.ran)
-		if len(h.ran) > 0 {
-			e.RanAgo = s.now() - h.ran[0]
+		h.tripRecorded = false
+		s.usedCapacity += s.capacityOf(h)
+		e := s.acceptedEvent(h)
+		e.Trips, e.Ran = h.trips, len(h.mayHaveRunAt)
+		if len(h.mayHaveRunAt) > 0 {
+			e.RanAgo = s.now() - h.mayHaveRunAt[0]
 		}
 		s.events = append(s.events, e)
 	}
 	if !settings.ListOnAsk {
-		s.post(outside, s.wire(), event{kind: evWatch})
+		s.post(outsideNode, s.transitTime(), event{kind: evWatchList})
 	}
-	s.lives = append(s.lives, audit.Life{Sender: s.number, What: "ready", At: s.now()})
-	s.wake()
+	s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "ready", At: s.now()})
+	s.scheduleTurn()
 }
 
-func (s *sender) takenEvent(h *held) rules.NoticeTaken {
-	eff := h.hand.eff
-	return rules.NoticeTaken{Notice: h.n, Grade: rules.GradeID(eff.Grade), Portfolio: rules.PortfolioID(eff.Portfolio),
-		Key: rules.KeyID(eff.Key), Destination: rules.DestinationID(eff.Destination), Left: h.until - s.now(),
-		Waited: h.waited, Room: s.roomOf(h)}
+func (s *sender) acceptedEvent(h *heldNotice) rules.NoticeTaken {
+	eff := h.submission.effect
+	return rules.NoticeTaken{Notice: h.id, Grade: rules.GradeID(eff.Grade), Portfolio: rules.PortfolioID(eff.Portfolio),
+		Key: rules.KeyID(eff.Key), Destination: rules.DestinationID(eff.Destination), Left: h.deadline - s.now(),
+		Waited: h.waited, Room: s.capacityOf(h)}
 }
 
-func (s *sender) roomOf(h *held) float64 {
-	buffers := (h.hand.eff.Body + s.limits.Buffer - 1) / s.limits.Buffer * s.limits.Buffer
-	return max(float64(buffers)/float64(s.limits.HeldBytes), ledger.Share(s.limits.Disk, h.hand.eff.Body))
+func (s *sender) capacityOf(h *heldNotice) float64 {
+	buffers := (h.submission.effect.Body + s.limits.Buffer - 1) / s.limits.Buffer * s.limits.Buffer
+	return max(float64(buffers)/float64(s.limits.HeldBytes), ledger.Share(s.limits.Disk, h.submission.effect.Body))
 }
 
 func (s *sender) handle(e *event) {
-	if s.frozen && e.kind != evThaw && e.kind != evKill {
-		s.frozenAt = append(s.frozenAt, *e)
+	if s.paused && e.kind != evResume && e.kind != evKill {
+		s.deferredEvents = append(s.deferredEvents, *e)
 		return
 	}
 	switch e.kind {
 	case evRestart:
-		s.known = e.more.(rules.ListTold)
-		if s.restarts = s.alive; !s.alive {
+		s.initialList = e.payload.(rules.ListTold)
+		if s.restartAfterExit = s.alive; !s.alive {
 			s.start()
 		}
 		return
-	case evHand:
-		s.take(e.hand)
+	case evSubmission:
+		s.accept(e.submission)
 		return
-	case evEndTaken:
-		if h := s.notices[rules.NoticeID(e.n)]; h != nil {
-			if h.taken = true; h.call == nil {
-				delete(s.notices, h.n)
+	case evOutcomeAccepted:
+		if h := s.notices[rules.NoticeID(e.value)]; h != nil {
+			if h.outcomeAccepted = true; h.call == nil {
+				delete(s.notices, h.id)
 			}
 		}
 		return
-	case evThaw:
-		s.thaw()
+	case evResume:
+		s.resume()
 		return
 	}
 	if !s.alive {
 		return
 	}
 	switch e.kind {
-	case evUp:
-		s.opened(e.conn)
-	case evRefused:
-		s.ended(e.conn, rules.NotConnected)
-	case evReset:
-		s.ended(e.conn, rules.Reset)
-	case evReply:
-		s.reply(e.call, e.more.(reply))
+	case evConnected:
+		s.connUp(e.conn)
+	case evConnectRefused:
+		s.connEnded(e.conn, rules.NotConnected)
+	case evConnReset:
+		s.connEnded(e.conn, rules.Reset)
+	case evResponse:
+		s.handleResponse(e.call, e.payload.(response))
 	case evTurn:
-		if uint64(e.n) == s.starts {
-			s.turn()
+		if uint64(e.value) == s.startCount {
+			s.runTurn()
 		}
-	case evTimer:
-		if uint64(e.n) == s.starts {
-			s.happened(rules.TimerDue{})
+	case evDeciderTimer:
+		if uint64(e.value) == s.startCount {
+			s.queueEvent(rules.TimerDue{})
 		}
-	case evWake:
-		if uint64(e.n) == s.starts {
-			s.wakeAt = never
-			s.expire()
+	case evTimeoutCheck:
+		if uint64(e.value) == s.startCount {
+			s.timeoutCheckAt = never
+			s.expireTimeouts()
 		}
-	case evList:
-		t := e.more.(toldOf)
-		for _, m := range t.members {
+	case evListReport:
+		t := e.payload.(listReport)
+		for _, m := range t.receivers {
 			m.Sender, m.At = s.number, s.now()
-			s.told = append(s.told, m)
+			s.listRecords = append(s.listRecords, m)
 		}
-		s.happened(t.told)
-	case evNoList:
-		s.happened(rules.ListFailed{})
-	case evEndLost:
-		if h := s.notices[rules.NoticeID(e.n)]; h != nil {
-			s.self(h.back, event{kind: evTellEnd, n: e.n, more: s.starts})
+		s.queueEvent(t.list)
+	case evListFailed:
+		s.queueEvent(rules.ListFailed{})
+	case evOutcomeRefused:
+		if h := s.notices[rules.NoticeID(e.value)]; h != nil {
+			s.schedule(h.reportBackoff, event{kind: evReportOutcome, value: e.value, payload: s.startCount})
 		}
-	case evTellEnd:
-		if h := s.notices[rules.NoticeID(e.n)]; h != nil && e.more.(uint64) == s.starts {
-			s.tellEnd(h)
+	case evReportOutcome:
+		if h := s.notices[rules.NoticeID(e.value)]; h != nil && e.payload.(uint64) == s.startCount {
+			s.reportOutcome(h)
 		}
 	case evKill:
 		s.kill()
-	case evLeave:
-		s.lives = append(s.lives, audit.Life{Sender: s.number, What: "leaving", At: s.now()})
-		s.leaving = true
-		s.self(millisOf(s.limits.Linger), event{kind: evExit, n: int64(s.starts)})
-	case evExit:
-		s.exit(uint64(e.n))
-	case evFreeze:
-		s.frozen = true
-		s.lives = append(s.lives, audit.Life{Sender: s.number, What: "frozen", At: s.now()})
-	case evFiles:
-		if s.files = s.limits.Receivers; e.n >= 0 {
-			s.files = min(s.files, len(s.lines)+int(e.n))
+	case evShutdown:
+		s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "leaving", At: s.now()})
+		s.shuttingDown = true
+		s.schedule(toMillis(s.limits.Linger), event{kind: evExitCheck, value: int64(s.startCount)})
+	case evExitCheck:
+		s.checkExit(uint64(e.value))
+	case evPause:
+		s.paused = true
+		s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "frozen", At: s.now()})
+	case evDescriptorLimit:
+		if s.connLimit = s.limits.Receivers; e.value >= 0 {
+			s.connLimit = min(s.connLimit, len(s.conns)+int(e.value))
 		}
 	}
 }
 
 // happened tells the decisions of something, in the next turn.
-func (s *sender) happened(e rules.Event) {
+func (s *sender) queueEvent(e rules.Event) {
 	s.events = append(s.events, e)
-	s.wake()
+	s.scheduleTurn()
 }
 
 // wake asks for a turn.
-func (s *sender) wake() {
+func (s *sender) scheduleTurn() {
 	if !s.turnDue {
 		s.turnDue = true
-		s.self(max(s.lastTurn+s.w.turn-s.now(), 0), event{kind: evTurn, n: int64(s.starts)})
+		s.schedule(max(s.lastTurnAt+s.world.turnInterval-s.now(), 0), event{kind: evTurn, value: int64(s.startCount)})
 	}
 }
 
 // take hears a client.
-func (s *sender) take(h *hand) {
+func (s *sender) accept(sub *submission) {
 	answer := func(status int, after rules.Millis) {
-		s.post(outside, s.wire(), event{kind: evAnswered, hand: h, n: int64(status), more: after})
+		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: sub, value: int64(status), payload: after})
 	}
-	full := s.w.Settings.HoldLimit > 0 && len(s.notices) >= s.w.Settings.HoldLimit
+	full := s.world.Settings.HoldLimit > 0 && len(s.notices) >= s.world.Settings.HoldLimit
 	switch {
 	case !s.alive:
 		answer(0, 0)
-	case s.leaving:
-		s.counted.refused++
+	case s.shuttingDown:
+		s.counts.refused++
 		answer(503, 0)
 	default:
-		s.last++
-		n := &held{hand: h, n: s.last, until: s.now() + h.until - h.at, waited: s.now() - h.at}
-		if room := s.roomOf(n); full || s.room+room > 1 {
-			s.counted.refused++
+		s.lastID++
+		n := &heldNotice{submission: sub, id: s.lastID, deadline: s.now() + sub.deadline - sub.submittedAt, waited: s.now() - sub.submittedAt}
+		if room := s.capacityOf(n); full || s.usedCapacity+room > 1 {
+			s.counts.refused++
 			answer(503, 0)
 			return
 		}
-		s.room += s.roomOf(n)
-		s.notices[n.n] = n
-		s.fresh = append(s.fresh, n)
-		s.happened(s.takenEvent(n))
+		s.usedCapacity += s.capacityOf(n)
+		s.notices[n.id] = n
+		s.unanswered = append(s.unanswered, n)
+		s.queueEvent(s.acceptedEvent(n))
 	}
 }
 
 // turn lets the decisions be made and carries them out.
-func (s *sender) turn() {
-	s.turnDue, s.lastTurn = false, s.now()
-	s.counted.turns++
-	events, fresh := s.events, s.fresh
-	s.events, s.fresh = nil, nil
+func (s *sender) runTurn() {
+	s.turnDue, s.lastTurnAt = false, s.now()
+	s.counts.turns++
+	events, fresh := s.events, s.unanswered
+	s.events, s.unanswered = nil, nil
 	if len(events) == 0 || !s.sending {
 		return
 	}
-	actions := s.decider.Decide(s.now()-s.began, events)
+	actions := s.decider.Decide(s.now()-s.startedAt, events)
 	var ended map[rules.NoticeID]rules.Action
 	if len(fresh) > 0 {
 		ended = rules.Ends(actions)
 	}
 	for _, h := range fresh {
 		status, after := 202, rules.Millis(0)
-		switch a := ended[h.n].(type) {
+		switch a := ended[h.id].(type) {
 		case rules.Dismiss:
 			status, after = 429, a.RetryAfter
 		case rules.BreakOff:
 			status = 500
 		}
 		if status != 202 {
-			s.counted.refused++
-			s.forget(h)
+			s.counts.refused++
+			s.removeNotice(h)
 		}
-		s.post(outside, s.wire(), event{kind: evAnswered, hand: h.hand, n: int64(status), more: after})
+		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission, value: int64(status), payload: after})
 	}
 	for _, a := range actions {
-		s.carryOut(a)
+		s.execute(a)
 	}
 }
 
-func (s *sender) carryOut(action rules.Action) {
+func (s *sender) execute(action rules.Action) {
 	switch a := action.(type) {
 	case rules.Send:
 		if h := s.notices[a.Notice]; h != nil {
 			s.send(h, a)
 		}
 	case rules.Write:
-		if h := s.notices[a.Notice]; h != nil && h.call != nil && h.call.conn.up && !h.call.written {
-			s.write(h.call.conn)
+		if h := s.notices[a.Notice]; h != nil && h.call != nil && h.call.conn.established && !h.call.written {
+			s.writeCall(h.call.conn)
 		}
 	case rules.Recall:
-		if h := s.notices[a.Notice]; h != nil && h.call != nil && h.call.conn.up && !h.call.written {
-			s.recall(h.call)
+		if h := s.notices[a.Notice]; h != nil && h.call != nil && h.call.conn.established && !h.call.written {
+			s.recallCall(h.call)
 		}
 	case rules.Dismiss:
-		s.end(a.Notice, "handed_back", a.RetryAfter)
+		s.endNotice(a.Notice, "handed_back", a.RetryAfter)
 	case rules.BreakOff:
-		s.end(a.Notice, "given_up", 0)
+		s.endNotice(a.Notice, "given_up", 0)
 	case rules.CallOff:
 		if h := s.notices[a.Notice]; h != nil && h.call != nil {
-			s.giveUp(h.call, rules.Cancelled)
+			s.abortCall(h.call, rules.Cancelled)
 		}
 	case rules.LetGo:
-		for _, c := range slices.Clone(s.idle[a.Receiver]) {
-			s.drop(c)
+		for _, c := range slices.Clone(s.idleConns[a.Receiver]) {
+			s.closeConn(c)
 		}
 	case rules.SetTimer:
-		s.self(a.After, event{kind: evTimer, n: int64(s.starts)})
+		s.schedule(a.After, event{kind: evDeciderTimer, value: int64(s.startCount)})
 	case rules.WatchList:
-		s.post(outside, s.wire(), event{kind: evWatch})
+		s.post(outsideNode, s.transitTime(), event{kind: evWatchList})
 	case rules.Turned:
-		if s.w.record {
-			s.turns = append(s.turns, Turned{At: s.now(), Sender: s.number, Destination: int(a.Destination), State: a.State, Why: a.Why})
+		if s.world.record {
+			s.breakerChanges = append(s.breakerChanges, BreakerChange{At: s.now(), Sender: s.number, Destination: int(a.Destination), State: a.State, Why: a.Why})
 		}
 	}
 }
 
 // send begins a trip, on an idle connection if there is one.
-func (s *sender) send(h *held, a rules.Send) {
-	c := &call{hand: h.hand, notice: h.n, receiver: a.Receiver, begun: s.now(), due: s.now() + a.TimeOut, out: true}
+func (s *sender) send(h *heldNotice, a rules.Send) {
+	c := &call{submission: h.submission, notice: h.id, receiver: a.Receiver, startedAt: s.now(), timeoutAt: s.now() + a.TimeOut, inFlight: true}
 	h.call = c
-	s.counted.trips++
+	s.counts.trips++
 	if h.trips++; h.trips > 1 {
-		s.counted.further++
+		s.counts.furtherTrips++
 	}
-	heap.Push(&s.out, c)
-	s.wakeBy(c.due)
-	for idle := s.idle[a.Receiver]; len(idle) > 0; idle = s.idle[a.Receiver] {
+	heap.Push(&s.inFlight, c)
+	s.scheduleTimeoutCheck(c.timeoutAt)
+	for idle := s.idleConns[a.Receiver]; len(idle) > 0; idle = s.idleConns[a.Receiver] {
 		l := idle[len(idle)-1]
-		if s.now()-l.since > millisOf(s.limits.ReceiverIdle) {
-			s.drop(l)
+		if s.now()-l.lastUsed > toMillis(s.limits.ReceiverIdle) {
+			s.closeConn(l)
 			continue
 		}
-		s.unidle(l)
+		s.removeIdle(l)
 		l.call, c.conn = c, l
-		s.write(l)
+		s.writeCall(l)
 		return
 	}
-	if len(s.lines) >= s.files && !s.closeOldest() {
-		s.counted.short++
+	if len(s.conns) >= s.connLimit && !s.closeOldest() {
+		s.counts.localShortages++
 		h.trips--
-		s.tell(c, rules.TripEnded{Result: rules.Short})
+		s.finishTrip(c, rules.TripEnded{Result: rules.Short})
 		return
 	}
-	l := &conn{sender: s.id, receiver: a.Receiver, call: c, since: s.now(), connectBy: s.now() + connectTime, place: len(s.lines)}
-	s.lines = append(s.lines, l)
+	l := &conn{sender: s.id, receiver: a.Receiver, call: c, lastUsed: s.now(), connectDeadline: s.now() + connectTime, senderIndex: len(s.conns)}
+	s.conns = append(s.conns, l)
 	c.conn = l
-	s.wakeBy(l.connectBy)
-	s.toSite(c.hand, event{kind: evConnect, conn: l})
+	s.scheduleTimeoutCheck(l.connectDeadline)
+	s.postToSite(c.submission, event{kind: evConnect, conn: l})
 }
 
-func (s *sender) toSite(h *hand, e event) {
-	to := s.w.siteOf(h.eff.Destination)
-	s.post(to, s.wire(), e)
+func (s *sender) postToSite(sub *submission, e event) {
+	to := s.world.siteNode(sub.effect.Destination)
+	s.post(to, s.transitTime(), e)
 }
 
 func (s *sender) closeOldest() bool {
 	var oldest *conn
-	for _, l := range s.lines {
-		if l.up && l.call == nil && !l.gone && (oldest == nil || l.since < oldest.since) {
+	for _, l := range s.conns {
+		if l.established && l.call == nil && !l.closed && (oldest == nil || l.lastUsed < oldest.lastUsed) {
 			oldest = l
 		}
 	}
 	if oldest != nil {
-		s.drop(oldest)
+		s.closeConn(oldest)
 	}
 	return oldest != nil
 }
 
 // opened asks whether the call that waited for its connection may still leave.
-func (s *sender) opened(l *conn) {
-	if l.gone {
+func (s *sender) connUp(cn *conn) {
+	if cn.closed {
 		return // given up meanwhile; the site has heard
 	}
-	l.up = true
-	s.happened(rules.ConnectionUp{Notice: l.call.notice})
+	cn.established = true
+	s.queueEvent(rules.ConnectionUp{Notice: cn.call.notice})
 }
 
 // recall takes a call back whose connection has come up, and keeps the connection.
-func (s *sender) recall(c *call) {
+func (s *sender) recallCall(c *call) {
 	l := c.conn
-	l.call, l.since = nil, s.now()
-	s.idle[l.receiver] = append(s.idle[l.receiver], l)
-	s.wakeBy(s.now() + millisOf(s.limits.ReceiverIdle))
+	l.call, l.lastUsed = nil, s.now()
+	s.idleConns[l.receiver] = append(s.idleConns[l.receiver], l)
+	s.scheduleTimeoutCheck(s.now() + toMillis(s.limits.ReceiverIdle))
 	s.notices[c.notice].trips--
-	s.tell(c, rules.TripEnded{Result: rules.Recalled})
+	s.finishTrip(c, rules.TripEnded{Result: rules.Recalled})
 }
 
 // write hands a call to its connection: its trip is in the ledger from here on.
-func (s *sender) write(l *conn) {
-	c := l.call
+func (s *sender) writeCall(cn *conn) {
+	c := cn.call
 	h := s.notices[c.notice]
-	h.ran = append(h.ran, s.now())
-	h.recorded, c.written, l.since = true, true, s.now()
-	s.toSite(c.hand, event{kind: evCall, call: c})
+	h.mayHaveRunAt = append(h.mayHaveRunAt, s.now())
+	h.tripRecorded, c.written, cn.lastUsed = true, true, s.now()
+	s.postToSite(c.submission, event{kind: evCall, call: c})
 }
 
 // ended hears the end of a connection.
-func (s *sender) ended(l *conn, how rules.Result) {
-	if l.gone {
+func (s *sender) connEnded(cn *conn, result rules.Result) {
+	if cn.closed {
 		return
 	}
-	c := l.call
-	l.call = nil
-	s.remove(l)
-	if c == nil || !c.out {
+	c := cn.call
+	cn.call = nil
+	s.removeConn(cn)
+	if c == nil || !c.inFlight {
 		return
 	}
 	if !c.written {
-		how = rules.NotConnected
+		result = rules.NotConnected
 	}
-	s.tell(c, rules.TripEnded{Result: how})
+	s.finishTrip(c, rules.TripEnded{Result: result})
 }
 
 // reply hears an answer.
-func (s *sender) reply(c *call, r reply) {
+func (s *sender) handleResponse(c *call, r response) {
 	l := c.conn
-	if l.gone || l.call != c || !c.out {
+	if l.closed || l.call != c || !c.inFlight {
 		return
 	}
 	e := rules.TripEnded{Result: rules.Errored}
 	switch {
 	case r.status == 200:
 		e.Result = rules.Handled
-	case r.spoilt:
+	case r.malformed:
 		e.Result = rules.Reset
 	case r.status == 429 || r.status == 503:
-		e.Result, e.Wait = rules.Full, r.wait
+		e.Result, e.Wait = rules.Full, r.retryAfter
 	}
-	e.LimitTold, e.LimitLeft, e.LimitRate = r.told, r.left, r.limit
-	l.call, l.since = nil, s.now()
-	if r.spoilt {
+	e.LimitTold, e.LimitLeft, e.LimitRate = r.limitReported, r.limitLeft, r.limitRate
+	l.call, l.lastUsed = nil, s.now()
+	if r.malformed {
 		e.LimitTold = false
-		s.drop(l)
+		s.closeConn(l)
 	} else {
-		s.idle[l.receiver] = append(s.idle[l.receiver], l)
-		s.wakeBy(s.now() + millisOf(s.limits.ReceiverIdle))
+		s.idleConns[l.receiver] = append(s.idleConns[l.receiver], l)
+		s.scheduleTimeoutCheck(s.now() + toMillis(s.limits.ReceiverIdle))
 	}
-	s.tell(c, e)
+	s.finishTrip(c, e)
 }
 
 // tell books a trip's outcome and tells the decisions.
-func (s *sender) tell(c *call, e rules.TripEnded) {
-	c.out = false
-	heap.Remove(&s.out, c.place)
+func (s *sender) finishTrip(c *call, e rules.TripEnded) {
+	c.inFlight = false
+	heap.Remove(&s.inFlight, c.heapIndex)
 	h := s.notices[c.notice]
 	h.call = nil
-	e.Notice, e.Receiver, e.Spent = c.notice, c.receiver, s.now()-c.begun
+	e.Notice, e.Receiver, e.Spent = c.notice, c.receiver, s.now()-c.startedAt
 	e.Over = e.Over || e.Result == rules.Handled
 	unrun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot || e.Result == rules.Short ||
 		e.Result == rules.Recalled
-	if h.recorded && unrun {
-		h.ran = h.ran[:len(h.ran)-1]
+	if h.tripRecorded && unrun {
+		h.mayHaveRunAt = h.mayHaveRunAt[:len(h.mayHaveRunAt)-1]
 	}
-	h.recorded = false
+	h.tripRecorded = false
 	if e.Over {
-		h.over = true
+		h.done = true
 	}
-	if e.Result == rules.Handled && h.ended == "" && s.mayBeLate(c.notice) {
-		h.ended = "given_up"
-		s.room -= s.roomOf(h)
-		s.tellEnd(h)
+	if e.Result == rules.Handled && h.outcome == "" && s.mayBeLate(c.notice) {
+		h.outcome = "given_up"
+		s.usedCapacity -= s.capacityOf(h)
+		s.reportOutcome(h)
 	}
 	switch {
-	case h.over && h.ended == "":
-		s.forget(h)
-	case h.taken:
-		delete(s.notices, h.n)
+	case h.done && h.outcome == "":
+		s.removeNotice(h)
+	case h.outcomeAccepted:
+		delete(s.notices, h.id)
 	}
-	s.happened(e)
+	s.queueEvent(e)
 }
 
 // mayBeLate tells whether an answer heard now may have come after its notice's time, as far as the policy knows.
@@ -518,172 +518,175 @@
 	judge, knows := s.decider.(interface {
 		AnswerMayBeLate(rules.NoticeID, rules.Millis) bool
 	})
-	return knows && judge.AnswerMayBeLate(n, s.now()-s.began)
+	return knows && judge.AnswerMayBeLate(n, s.now()-s.startedAt)
 }
 
 // end gives a notice its end.
-func (s *sender) end(n rules.NoticeID, outcome string, retry rules.Millis) {
-	h := s.notices[n]
+func (s *sender) endNotice(id rules.NoticeID, outcome string, retryAfter rules.Millis) {
+	h := s.notices[id]
 	if h == nil {
 		return // told in its own turn
 	}
 	if outcome == "given_up" {
-		s.counted.brokenOff++
+		s.counts.brokenOff++
 	} else {
-		s.counted.dismissed++
+		s.counts.dismissed++
 	}
-	h.over, h.ended, h.retry = true, outcome, retry
-	s.room -= s.roomOf(h)
-	s.tellEnd(h)
+	h.done, h.outcome, h.retryAfter = true, outcome, retryAfter
+	s.usedCapacity -= s.capacityOf(h)
+	s.reportOutcome(h)
 }
 
 // tellEnd hands an end in to the platform; one that was not taken comes again, later each time.
-func (s *sender) tellEnd(h *held) {
-	s.post(outside, s.wire(), event{kind: evEnd, hand: h.hand, n: int64(h.n), more: endOf{h.ended, h.retry}})
-	h.back = min(max(2*h.back, millisOf(s.limits.BackOff)), millisOf(s.limits.BackOffMost))
+func (s *sender) reportOutcome(h *heldNotice) {
+	s.post(outsideNode, s.transitTime(), event{kind: evOutcome, submission: h.submission, value: int64(h.id), payload: outcomeReport{h.outcome, h.retryAfter}})
+	h.reportBackoff = min(max(2*h.reportBackoff, toMillis(s.limits.BackOff)), toMillis(s.limits.BackOffMost))
 }
 
-func (s *sender) forget(h *held) {
-	s.room -= s.roomOf(h)
-	delete(s.notices, h.n)
+func (s *sender) removeNotice(h *heldNotice) {
+	s.usedCapacity -= s.capacityOf(h)
+	delete(s.notices, h.id)
 }
 
 // giveUp ends a call from this side. One that was not written cannot have run.
-func (s *sender) giveUp(c *call, result rules.Result) {
+func (s *sender) abortCall(c *call, result rules.Result) {
 	if !c.written {
 		result = rules.NotConnected
 	}
 	c.conn.call = nil
-	s.drop(c.conn)
-	s.tell(c, rules.TripEnded{Result: result})
+	s.closeConn(c.conn)
+	s.finishTrip(c, rules.TripEnded{Result: result})
 }
 
 // drop ends a connection from this side; its site hears.
-func (s *sender) drop(l *conn) {
-	if l.gone {
+func (s *sender) closeConn(cn *conn) {
+	if cn.closed {
 		return
 	}
-	s.remove(l)
-	s.post(s.w.siteOf(int(s.w.destOf[l.receiver])), s.wire(), event{kind: evHangup, conn: l})
+	s.removeConn(cn)
+	s.post(s.world.siteNode(int(s.world.destinationOf[cn.receiver])), s.transitTime(), event{kind: evConnClosed, conn: cn})
 }
 
-func (s *sender) remove(l *conn) {
-	l.gone = true
-	last := s.lines[len(s.lines)-1]
-	s.lines[l.place], last.place = last, l.place
-	s.lines = s.lines[:len(s.lines)-1]
-	s.unidle(l)
+func (s *sender) removeConn(cn *conn) {
+	cn.closed = true
+	last := s.conns[len(s.conns)-1]
+	s.conns[cn.senderIndex], last.senderIndex = last, cn.senderIndex
+	s.conns = s.conns[:len(s.conns)-1]
+	s.removeIdle(cn)
 }
 
-func (s *sender) unidle(l *conn) {
-	idle := s.idle[l.receiver]
-	if i := slices.Index(idle, l); i >= 0 {
+func (s *sender) removeIdle(cn *conn) {
+	idle := s.idleConns[cn.receiver]
+	if i := slices.Index(idle, cn); i >= 0 {
 		idle = slices.Delete(idle, i, i+1)
 	}
-	if s.idle[l.receiver] = idle; len(idle) == 0 {
-		delete(s.idle, l.receiver)
+	if s.idleConns[cn.receiver] = idle; len(idle) == 0 {
+		delete(s.idleConns, cn.receiver)
 	}
 }
 
 // wakeBy asks to look for what has timed out at a time, or before.
-func (s *sender) wakeBy(at rules.Millis) {
-	if at < s.wakeAt {
-		s.wakeAt = at
-		s.self(max(at-s.now(), 0), event{kind: evWake, n: int64(s.starts)})
+func (s *sender) scheduleTimeoutCheck(at rules.Millis) {
+	if at < s.timeoutCheckAt {
+		s.timeoutCheckAt = at
+		s.schedule(max(at-s.now(), 0), event{kind: evTimeoutCheck, value: int64(s.startCount)})
 	}
 }
 
 // expire gives up what has taken too long and closes what has stood idle.
-func (s *sender) expire() {
+func (s *sender) expireTimeouts() {
 	now, next := s.now(), never
-	for len(s.out) > 0 && s.out[0].due <= now {
-		s.giveUp(s.out[0], rules.TimedOut)
+	for len(s.inFlight) > 0 && s.inFlight[0].timeoutAt <= now {
+		s.abortCall(s.inFlight[0], rules.TimedOut)
 	}
-	for _, l := range slices.Clone(s.lines) {
+	for _, l := range slices.Clone(s.conns) {
 		switch {
-		case l.gone:
-		case !l.up && l.connectBy <= now:
+		case l.closed:
+		case !l.established && l.connectDeadline <= now:
 			c := l.call
-			s.drop(l)
-			if c != nil && c.out {
-				s.tell(c, rules.TripEnded{Result: rules.NotConnected})
+			s.closeConn(l)
+			if c != nil && c.inFlight {
+				s.finishTrip(c, rules.TripEnded{Result: rules.NotConnected})
 			}
-		case !l.up:
-			next = min(next, l.connectBy)
-		case l.call == nil && l.since+millisOf(s.limits.ReceiverIdle) <= now:
-			s.drop(l)
+		case !l.established:
+			next = min(next, l.connectDeadline)
+		case l.call == nil && l.lastUsed+toMillis(s.limits.ReceiverIdle) <= now:
+			s.closeConn(l)
 		case l.call == nil:
-			next = min(next, l.since+millisOf(s.limits.ReceiverIdle))
+			next = min(next, l.lastUsed+toMillis(s.limits.ReceiverIdle))
 		}
 	}
-	if len(s.out) > 0 {
-		next = min(next, s.out[0].due)
+	if len(s.inFlight) > 0 {
+		next = min(next, s.inFlight[0].timeoutAt)
 	}
 	if next < never {
-		s.wakeBy(max(next, now+1))
+		s.scheduleTimeoutCheck(max(next, now+1))
 	}
 }
 
 // kill ends the process: what is left is what its ledger has.
 func (s *sender) kill() {
-	s.lives = append(s.lives, audit.Life{Sender: s.number, What: "killed", At: s.now()})
+	s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "killed", At: s.now()})
 	s.stop()
 }
 
 func (s *sender) stop() {
-	s.alive, s.frozen, s.frozenAt = false, false, nil
-	for _, l := range slices.Clone(s.lines) {
-		s.drop(l)
+	s.alive, s.paused, s.deferredEvents = false, false, nil
+	for _, l := range slices.Clone(s.conns) {
+		s.closeConn(l)
 	}
-	for _, h := range s.fresh { // their clients never had an answer
-		delete(s.notices, h.n)
-		s.post(outside, s.wire(), event{kind: evAnswered, hand: h.hand, n: lostAnswer, more: rules.Millis(0)})
+	for _, h := range s.unanswered { // their clients never had an answer
+		delete(s.notices, h.id)
+		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission, value: statusNoAnswer, payload: rules.Millis(0)})
 	}
-	s.fresh, s.events = nil, nil
+	s.unanswered, s.events = nil, nil
 }
 
 // exit leaves once nothing is out, and at the latest when the time is up.
-func (s *sender) exit(starts uint64) {
-	if starts != s.starts {
+func (s *sender) checkExit(startCount uint64) {
+	if startCount != s.startCount {
 		return
 	}
-	left := s.now() - s.lives[len(s.lives)-1].At
-	s.sending = left < millisOf(s.limits.SendUntil)
-	if s.sending && len(s.notices) > 0 || len(s.out) > 0 && left < millisOf(s.limits.ExitBy) {
-		s.self(50, event{kind: evExit, n: int64(starts)})
+	elapsed := s.now() - s.lifeRecords[len(s.lifeRecords)-1].At
+	s.sending = elapsed < toMillis(s.limits.SendUntil)
+	if s.sending && len(s.notices) > 0 || len(s.inFlight) > 0 && elapsed < toMillis(s.limits.ExitBy) {
+		s.schedule(50, event{kind: evExitCheck, value: int64(startCount)})
 		return
 	}
 	s.stop()
-	if s.restarts {
-		s.restarts = false
+	if s.restartAfterExit {
+		s.restartAfterExit = false
 		s.start()
 	}
 }
 
 // thaw goes on: what came meanwhile is heard now.
-func (s *sender) thaw() {
-	if !s.frozen {
+func (s *sender) resume() {
+	if !s.paused {
 		return
 	}
-	s.frozen = false
-	s.lives = append(s.lives, audit.Life{Sender: s.number, What: "going on", At: s.now()})
-	waited := s.frozenAt
-	s.frozenAt = nil
-	for i := range waited {
-		s.handle(&waited[i])
+	s.paused = false
+	s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "going on", At: s.now()})
+	deferred := s.deferredEvents
+	s.deferredEvents = nil
+	for i := range deferred {
+		s.handle(&deferred[i])
 	}
 }
 
 // byDue is a heap of calls by the end of their time-outs.
-type byDue []*call
+type callsByTimeout []*call
 
-func (h byDue) Len() int { return len(h) }
-func (h byDue) Less(i, j int) bool {
-	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].notice < h[j].notice
+func (h callsByTimeout) Len() int { return len(h) }
+func (h callsByTimeout) Less(i, j int) bool {
+	return h[i].timeoutAt < h[j].timeoutAt || h[i].timeoutAt == h[j].timeoutAt && h[i].notice < h[j].notice
+}
+func (h callsByTimeout) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h byDue) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].place, h[j].place = i, j }
-func (h *byDue) Push(x any)   { c := x.(*call); c.place = len(*h); *h = append(*h, c) }
-func (h *byDue) Pop() any {
+func (h *callsByTimeout) Push(x any) { c := x.(*call); c.heapIndex = len(*h); *h = append(*h, c) }
+func (h *callsByTimeout) Pop() any {
 	old := *h
 	c := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/model/site.go
+++ b/internal/model/site.go
@@ -15,90 +15,90 @@
 	receiver rules.ReceiverID
 
 	// The sender's.
-	up, gone  bool // gone: closed by the sender, or known to have ended
-	call      *call
-	since     rules.Millis
-	connectBy rules.Millis
-	place     int // among its sender's
+	established, closed bool // gone: closed by the sender, or known to have ended
+	call                *call
+	lastUsed            rules.Millis
+	connectDeadline     rules.Millis
+	senderIndex         int // among its sender's
 
 	// The site's.
-	open   bool
-	serves *call
-	at     int // among its receiver's
+	open          bool
+	serving       *call
+	receiverIndex int // among its receiver's
 }
 
 // call is a trip on its way. Its sender writes the first part, the site the second.
 type call struct {
-	hand     *hand
-	notice   rules.NoticeID
-	receiver rules.ReceiverID
-	conn     *conn
-	begun    rules.Millis
-	due      rules.Millis
-	place    int // among those out
-	written  bool
-	out      bool
+	submission *submission
+	notice     rules.NoticeID
+	receiver   rules.ReceiverID
+	conn       *conn
+	startedAt  rules.Millis
+	timeoutAt  rules.Millis
+	heapIndex  int // among those out
+	written    bool
+	inFlight   bool
 
 	fate   gateway.Fate
-	noted  audit.Call
-	closed bool
+	record audit.Call
+	done   bool
 }
 
 // reply is what an answer tells its sender.
-type reply struct {
-	status       int
-	wait         rules.Millis
-	spoilt, told bool
-	left, limit  float64
+type response struct {
+	status                   int
+	retryAfter               rules.Millis
+	malformed, limitReported bool
+	limitLeft, limitRate     float64
 }
 
 // site is a destination with its receivers.
 type site struct {
 	port
-	w         *world
-	core      *gateway.Site
-	receivers []*place
-	byID      map[rules.ReceiverID]*place
-	open      int
-	calls     []*call // those noted, for the record
-	falls     []audit.Fall
+	world         *world
+	gateway       *gateway.Site
+	receivers     []*receiver
+	byID          map[rules.ReceiverID]*receiver
+	openConns     int
+	recordedCalls []*call // those noted, for the record
+	overloads     []audit.Fall
 
-	counted struct{ calls, full, further, second int }
+	counts struct{ calls, fullResponses, furtherCalls, secondEffects int }
 }
 
 // place is one receiver.
-type place struct {
-	id      rules.ReceiverID
-	name    string
-	closed  bool // gone for good
-	refuses bool
-	blocked bool
-	conns   []*conn
+type receiver struct {
+	id           rules.ReceiverID
+	name         string
+	removed      bool // gone for good
+	refusing     bool
+	unresponsive bool
+	conns        []*conn
 }
 
 // Events at a site.
 const (
-	evConnect kind = iota // conn
-	evCall                // call
-	evAnswer              // call: its answer is due
-	evHangup              // conn: the sender has ended it
-	evFaults              // a fault begins or ends
-	evOpen                // n: a receiver opens
-	evGone                // n: a receiver is gone for good
+	evConnect         eventKind = iota // conn
+	evCall                             // call
+	evResponseDue                      // call: its answer is due
+	evConnClosed                       // conn: the sender has ended it
+	evFaultChange                      // a fault begins or ends
+	evReceiverAdded                    // n: a receiver opens
+	evReceiverRemoved                  // n: a receiver is gone for good
 )
 
 func newSite(w *world, p port, d *scenario.Destination) *site {
-	s := &site{port: p, w: w, core: gateway.NewSite(w.World, d), byID: map[rules.ReceiverID]*place{}}
+	s := &site{port: p, world: w, gateway: gateway.NewSite(w.World, d), byID: map[rules.ReceiverID]*receiver{}}
 	for _, name := range d.Receivers {
-		s.add(w.receiver(name))
+		s.addReceiver(w.receiver(name))
 	}
-	s.faults(0)
-	s.nextFault(0)
+	s.applyFaults(0)
+	s.scheduleFaultChange(0)
 	return s
 }
 
-func (s *site) add(id rules.ReceiverID) {
-	p := &place{id: id, name: s.w.names[id]}
+func (s *site) addReceiver(id rules.ReceiverID) {
+	p := &receiver{id: id, name: s.world.receiverNames[id]}
 	s.receivers = append(s.receivers, p)
 	s.byID[id] = p
 }
@@ -108,42 +108,42 @@
 	case evConnect:
 		s.connect(e.conn)
 	case evCall:
-		s.take(e.call)
-	case evAnswer:
-		s.answer(e.call)
-	case evHangup:
-		s.hungUp(e.conn)
-	case evFaults:
-		s.core.StepOutage(s.now())
-		s.faults(s.now())
-		s.nextFault(s.now())
-	case evOpen:
-		s.add(rules.ReceiverID(e.n))
-		s.faults(s.now())
-	case evGone:
-		p := s.byID[rules.ReceiverID(e.n)]
-		p.closed = true
-		s.resetAll(p)
+		s.receiveCall(e.call)
+	case evResponseDue:
+		s.respond(e.call)
+	case evConnClosed:
+		s.connClosed(e.conn)
+	case evFaultChange:
+		s.gateway.StepOutage(s.now())
+		s.applyFaults(s.now())
+		s.scheduleFaultChange(s.now())
+	case evReceiverAdded:
+		s.addReceiver(rules.ReceiverID(e.value))
+		s.applyFaults(s.now())
+	case evReceiverRemoved:
+		p := s.byID[rules.ReceiverID(e.value)]
+		p.removed = true
+		s.resetConns(p)
 	}
 }
 
 // nextFault asks to be told when the next fault begins or ends.
-func (s *site) nextFault(now rules.Millis) {
+func (s *site) scheduleFaultChange(now rules.Millis) {
 	next := rules.Millis(-1)
-	for _, f := range s.core.Faults {
+	for _, f := range s.gateway.Faults {
 		if n := f.Next(now); n >= 0 && (next < 0 || n < next) {
 			next = n
 		}
 	}
 	if next >= 0 {
-		s.self(max(next-now, 0), event{kind: evFaults})
+		s.schedule(max(next-now, 0), event{kind: evFaultChange})
 	}
 }
 
 // faults puts into force what acts from now on.
-func (s *site) faults(now rules.Millis) {
+func (s *site) applyFaults(now rules.Millis) {
 	refuses, blocked := false, false
-	for _, f := range s.core.Faults {
+	for _, f := range s.gateway.Faults {
 		switch f.Kind {
 		case scenario.Refuse, scenario.Flap:
 			refuses = refuses || f.Active(now)
@@ -152,174 +152,174 @@
 		}
 	}
 	for _, p := range s.receivers {
-		p.refuses, p.blocked = refuses, blocked
+		p.refusing, p.unresponsive = refuses, blocked
 		if refuses {
-			s.resetAll(p)
+			s.resetConns(p)
 		}
 	}
 }
 
-func (s *site) resetAll(p *place) {
+func (s *site) resetConns(p *receiver) {
 	for _, c := range slices.Clone(p.conns) {
-		s.reset(c)
+		s.resetConn(c)
 	}
 }
 
 // reset ends a connection from this side.
-func (s *site) reset(c *conn) {
+func (s *site) resetConn(c *conn) {
 	if !c.open {
 		return
 	}
-	s.drop(c)
-	s.toSender(c.sender, event{kind: evReset, conn: c})
+	s.dropConn(c)
+	s.postToSender(c.sender, event{kind: evConnReset, conn: c})
 }
 
 // drop forgets a connection; a call that it served is over.
-func (s *site) drop(c *conn) {
+func (s *site) dropConn(c *conn) {
 	p := s.byID[c.receiver]
 	last := p.conns[len(p.conns)-1]
-	p.conns[c.at], last.at = last, c.at
+	p.conns[c.receiverIndex], last.receiverIndex = last, c.receiverIndex
 	p.conns = p.conns[:len(p.conns)-1]
 	c.open = false
-	s.open--
-	if call := c.serves; call != nil && !call.closed {
-		call.closed = true
-		if call.noted.Closed == 0 {
-			call.noted.Closed = s.now()
+	s.openConns--
+	if call := c.serving; call != nil && !call.done {
+		call.done = true
+		if call.record.Closed == 0 {
+			call.record.Closed = s.now()
 		}
 	}
 }
 
-func (s *site) toSender(sender int32, e event) { s.post(sender, s.wire(), e) }
+func (s *site) postToSender(sender int32, e event) { s.post(sender, s.transitTime(), e) }
 
 func (s *site) connect(c *conn) {
 	p := s.byID[c.receiver]
 	switch {
-	case p != nil && p.blocked:
+	case p != nil && p.unresponsive:
 		// No answer: the sender gives up by itself.
-	case p == nil || p.closed || p.refuses, s.core.Group.Shape.Connections > 0 && s.open >= s.core.Group.Shape.Connections:
-		s.toSender(c.sender, event{kind: evRefused, conn: c})
+	case p == nil || p.removed || p.refusing, s.gateway.Group.Shape.Connections > 0 && s.openConns >= s.gateway.Group.Shape.Connections:
+		s.postToSender(c.sender, event{kind: evConnectRefused, conn: c})
 	default:
-		c.open, c.at = true, len(p.conns)
+		c.open, c.receiverIndex = true, len(p.conns)
 		p.conns = append(p.conns, c)
-		s.open++
-		s.toSender(c.sender, event{kind: evUp, conn: c})
+		s.openConns++
+		s.postToSender(c.sender, event{kind: evConnected, conn: c})
 	}
 }
 
-func (s *site) hungUp(c *conn) {
+func (s *site) connClosed(c *conn) {
 	if c.open {
-		s.drop(c)
+		s.dropConn(c)
 	}
 }
 
 // take reads a call.
-func (s *site) take(c *call) {
+func (s *site) receiveCall(c *call) {
 	now := s.now()
 	if !c.conn.open {
 		return
 	}
-	h := c.hand
-	c.noted = audit.Call{ID: h.id, Receiver: s.byID[c.receiver].name, Mark: h.eff.mark, Dest: s.core.Number, Apart: s.w.apart[s.core.Number],
+	h := c.submission
+	c.record = audit.Call{ID: h.id, Receiver: s.byID[c.receiver].name, Mark: h.effect.idempotencyKey, Dest: s.gateway.Number, Apart: s.world.apart[s.gateway.Number],
 		First: now, Last: now}
-	if _, silent := s.core.Active(scenario.Silent, now); silent {
-		s.untilChange(c) // not read before it ends, and reset then
+	if _, silent := s.gateway.Active(scenario.Silent, now); silent {
+		s.deferToFaultChange(c) // not read before it ends, and reset then
 		c.fate = gateway.Fate{Reset: true, Unseen: true}
-		c.conn.serves = c
+		c.conn.serving = c
 		return
 	}
-	if _, struck := s.core.Strike(scenario.ResetBefore, -1, now); struck {
-		c.noted.ID, c.noted.Unread, c.noted.Fault = "", true, scenario.ResetBefore
-		s.note(c)
-		s.reset(c.conn)
+	if _, struck := s.gateway.Strike(scenario.ResetBefore, -1, now); struck {
+		c.record.ID, c.record.Unread, c.record.Fault = "", true, scenario.ResetBefore
+		s.recordCall(c)
+		s.resetConn(c.conn)
 		return
 	}
-	c.fate = s.core.Decide(now, int(c.conn.sender)-firstSender, h.eff.Grade)
+	c.fate = s.gateway.Decide(now, int(c.conn.sender)-firstSenderNode, h.effect.Grade)
 	if c.fate.Fell {
-		s.falls = append(s.falls, audit.Fall{Dest: s.core.Number, At: now, By: s.core.Core.Pushed(), Seen: s.core.SeenBy()})
+		s.overloads = append(s.overloads, audit.Fall{Dest: s.gateway.Number, At: now, By: s.gateway.Core.Pushed(), Seen: s.gateway.SeenBy()})
 	}
-	c.noted.Ran, c.noted.Fault, c.noted.Unread = c.fate.Ran, c.fate.Fault, c.fate.Unseen
-	c.conn.serves = c
-	s.note(c)
+	c.record.Ran, c.record.Fault, c.record.Unread = c.fate.Ran, c.fate.Fault, c.fate.Unseen
+	c.conn.serving = c
+	s.recordCall(c)
 	if !c.fate.Never {
-		s.self(max(c.fate.At-now, 0), event{kind: evAnswer, call: c})
+		s.schedule(max(c.fate.At-now, 0), event{kind: evResponseDue, call: c})
 	}
 }
 
 // note counts a call and, where all is recorded, keeps it.
-func (s *site) note(c *call) {
-	s.counted.calls++
-	if h := c.hand; !c.noted.Unread {
+func (s *site) recordCall(c *call) {
+	s.counts.calls++
+	if h := c.submission; !c.record.Unread {
 		if h.called {
-			s.counted.further++
+			s.counts.furtherCalls++
 		}
 		h.called = true
-		if c.noted.Ran && s.w.Settings.Grades[h.eff.Grade].Repeat == rules.AtMostOnce {
-			if h.eff.ran++; h.eff.ran > 1 {
-				s.counted.second++
+		if c.record.Ran && s.world.Settings.Grades[h.effect.Grade].Repeat == rules.AtMostOnce {
+			if h.effect.runs++; h.effect.runs > 1 {
+				s.counts.secondEffects++
 			}
 		}
 	}
-	if s.w.record {
-		s.calls = append(s.calls, c)
+	if s.world.record {
+		s.recordedCalls = append(s.recordedCalls, c)
 	}
 }
 
 // untilChange comes back to a call when the faults next change.
-func (s *site) untilChange(c *call) {
+func (s *site) deferToFaultChange(c *call) {
 	next := rules.Millis(-1)
-	for _, f := range s.core.Faults {
+	for _, f := range s.gateway.Faults {
 		if n := f.Next(s.now()); n >= 0 && (next < 0 || n < next) {
 			next = n
 		}
 	}
 	if next >= 0 {
-		s.self(max(next-s.now(), 1), event{kind: evAnswer, call: c})
+		s.schedule(max(next-s.now(), 1), event{kind: evResponseDue, call: c})
 	}
 }
 
 // dribbled is how long it takes an answer's first line to come at a byte a second.
-const dribbled = 16_000
+const dribbleTime = 16_000
 
 // answer writes an answer that is due.
-func (s *site) answer(c *call) {
-	if c.closed || !c.conn.open {
+func (s *site) respond(c *call) {
+	if c.done || !c.conn.open {
 		return
 	}
 	now := s.now()
-	if _, on := s.core.Active(scenario.Silent, now); on {
-		s.untilChange(c)
+	if _, on := s.gateway.Active(scenario.Silent, now); on {
+		s.deferToFaultChange(c)
 		c.fate.Reset, c.fate.Status, c.fate.Spoilt = true, 0, false
 		return
 	}
-	if _, on := s.core.Active(scenario.Pauses, now); on {
-		s.untilChange(c)
+	if _, on := s.gateway.Active(scenario.Pauses, now); on {
+		s.deferToFaultChange(c)
 		return
 	}
 	if c.fate.Slow {
 		c.fate.Slow = false
-		s.self(dribbled, event{kind: evAnswer, call: c})
+		s.schedule(dribbleTime, event{kind: evResponseDue, call: c})
 		return
 	}
 	if c.fate.Reset {
-		s.reset(c.conn)
+		s.resetConn(c.conn)
 		return
 	}
-	c.closed = true
-	if c.conn.serves == c && !c.fate.Spoilt {
-		c.conn.serves = nil
+	c.done = true
+	if c.conn.serving == c && !c.fate.Spoilt {
+		c.conn.serving = nil
 	}
 	f := c.fate
-	c.noted.Replied, c.noted.Status, c.noted.Wait, c.noted.Spoilt = now, f.Status, f.Wait, f.Spoilt
+	c.record.Replied, c.record.Status, c.record.Wait, c.record.Spoilt = now, f.Status, f.Wait, f.Spoilt
 	if !f.Spoilt && (f.Status == 429 || f.Status == 503) {
-		s.counted.full++
+		s.counts.fullResponses++
 	}
 	if f.Status == 200 {
-		c.noted.Delivered = true
-		if e := c.hand.eff; e.delivered < 0 {
-			e.delivered = now
+		c.record.Delivered = true
+		if e := c.submission.effect; e.deliveredAt < 0 {
+			e.deliveredAt = now
 		}
 	}
-	s.toSender(c.conn.sender, event{kind: evReply, call: c, more: reply{status: f.Status, wait: f.Wait, spoilt: f.Spoilt, told: f.Told,
-		left: f.Left, limit: f.LimitIs}})
+	s.postToSender(c.conn.sender, event{kind: evResponse, call: c, payload: response{status: f.Status, retryAfter: f.Wait, malformed: f.Spoilt, limitReported: f.Told,
+		limitLeft: f.Left, limitRate: f.LimitIs}})
 }
