--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -14,26 +14,26 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// The baselines: what textbooks and libraries offer, for comparison only. They keep to slots, trips and what must not
-// run twice, and to nothing else that our rules ask.
+// The baselines: the policies of textbooks and libraries, for comparison only. They respect slots, trip limits and
+// at-most-once notices, and no other rule that the daemon follows.
 const (
-	OneTry    = "one-try"   // one call for each notice
-	Immediate = "immediate" // further calls at once
-	Backoff   = "backoff"   // exponential, full jitter
-	Budget    = "budget"    // backoff, and further calls up to a tenth of the first ones
-	Bucket    = "bucket"    // backoff, and a token bucket for each destination at this sender's part of its limit
-	Gradient  = "gradient"  // backoff, and for each destination a limit of calls out that follows the delays
-	Breaker   = "breaker"   // backoff, and a circuit breaker for each destination by the rules of sony/gobreaker
-	Least     = "least"     // backoff, to the receiver with the fewest calls out
-	Oracle    = "oracle"    // knows what troubles act, and each destination's capacity
+	OneTry    = "one-try"   // a single call for each notice
+	Immediate = "immediate" // retries without delay
+	Backoff   = "backoff"   // retries with exponential backoff and full jitter
+	Budget    = "budget"    // Backoff, with retries limited to a tenth of the first calls
+	Bucket    = "bucket"    // Backoff, and per destination a token bucket at this sender's share of the destination's rate limit
+	Gradient  = "gradient"  // Backoff, and per destination a limit on calls in flight that adapts to latency
+	Breaker   = "breaker"   // Backoff, and per destination a circuit breaker with the rules of sony/gobreaker
+	Least     = "least"     // Backoff, to the receiver with the fewest calls in flight
+	Oracle    = "oracle"    // knows the active faults and each destination's capacity
 )
 
-// Policies names ours and the baselines.
+// Policies lists the names of the daemon's policy and of the baselines.
 func Policies() []string {
 	return []string{"ours", OneTry, Immediate, Backoff, Budget, Bucket, Gradient, Breaker, Least, Oracle}
 }
 
-// PolicyOf is the policy of a name, for a world.
+// PolicyOf returns the policy with this name, for a scenario.
 func PolicyOf(name string, s *scenario.Scenario) (Policy, error) {
 	switch {
 	case name == "" || name == "ours":
@@ -43,12 +43,14 @@
 	}
 	w := scenario.Lay(s)
 	return func(seed uint64, settings rules.Settings, began rules.Millis) Decider {
-		return &baseline{policy: name, settings: settings, startedAt: began, world: w, rng: rand.New(rand.NewPCG(seed, 1)),
+		return &baseline{policy: name, settings: settings, startedAt: began, world: w,
+			rng:     rand.New(rand.NewPCG(seed, 1)),
 			notices: map[rules.NoticeID]*baselineNotice{}, dests: map[rules.DestinationID]*baselineDestination{},
 			receivers: map[rules.ReceiverID]*baselineReceiver{}}
 	}, nil
 }
 
+// baselineNotice is a notice as a baseline keeps it.
 type baselineNotice struct {
 	rules.NoticeTaken
 	until, readyAt rules.Millis
@@ -58,6 +60,7 @@
 	heapIndex      int
 }
 
+// baselineReceiver is a receiver as a baseline keeps it.
 type baselineReceiver struct {
 	id       rules.ReceiverID
 	dest     *baselineDestination
@@ -65,13 +68,13 @@
 	inFlight int
 }
 
-// plainDest is what a baseline keeps of a destination.
+// baselineDestination is the state that a baseline keeps of a destination.
 type baselineDestination struct {
 	number                 int
 	receivers              []*baselineReceiver
 	nextReceiver, inFlight int
-	reportedRate           float64 // told, calls a second
-	// Token bucket.
+	reportedRate           float64 // reported by the receivers, calls per second
+	// Bucket.
 	tokens   float64
 	filledAt rules.Millis
 	// Gradient.
@@ -83,7 +86,7 @@
 	trialSent             bool
 }
 
-// plain is a sender of the textbook kind.
+// baseline is a Decider for any of the baseline policies.
 type baseline struct {
 	policy      string
 	settings    rules.Settings
@@ -103,7 +106,7 @@
 
 func (p *baseline) emit(a rules.Action) { p.actions = append(p.actions, a) }
 
-// Decide takes what happened and returns what is to be done.
+// Decide receives the events since the last call and returns the actions to execute.
 func (p *baseline) Decide(now rules.Millis, events []rules.Event) []rules.Action {
 	p.now, p.actions = now, nil
 	for _, e := range events {
@@ -111,7 +114,8 @@
 		case rules.ListTold:
 			p.updateList(e)
 		case rules.NoticeTaken:
-			n := &baselineNotice{NoticeTaken: e, until: now + e.Left, readyAt: now, trips: e.Trips, mayHaveRun: e.Ran > 0}
+			n := &baselineNotice{NoticeTaken: e, until: now + e.Left, readyAt: now, trips: e.Trips,
+				mayHaveRun: e.Ran > 0}
 			p.notices[e.Notice] = n
 			p.retryTokens = min(p.retryTokens+0.1, 100)
 			heap.Push(&p.waiting, n)
@@ -174,7 +178,8 @@
 		delete(p.notices, e.Notice)
 		return
 	}
-	unrun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot || e.Result == rules.Short
+	unrun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot ||
+		e.Result == rules.Short
 	n.mayHaveRun = n.mayHaveRun || !unrun
 	grade := p.settings.Grades[n.Grade]
 	limit := p.settings.TripLimit
@@ -199,7 +204,7 @@
 	heap.Push(&p.waiting, n)
 }
 
-// learn moves what a baseline knows of a destination by an outcome.
+// learn updates the state of a destination from the result of a trip.
 func (p *baseline) learn(d *baselineDestination, e rules.TripEnded) {
 	failed := e.Result != rules.Handled && e.Result != rules.Full && e.Result != rules.Short
 	switch p.policy {
@@ -211,7 +216,8 @@
 		d.minLatency *= 1.001
 		if d.minLatency > 0 {
 			gradient := min(max(2*d.minLatency/spent, 0.5), 1)
-			d.inFlightLimit = min(max(d.inFlightLimit*gradient+math.Sqrt(d.inFlightLimit)/4, 1), float64(p.settings.Slots))
+			d.inFlightLimit = min(max(d.inFlightLimit*gradient+math.Sqrt(d.inFlightLimit)/4, 1),
+				float64(p.settings.Slots))
 		}
 	case Breaker:
 		if p.now-d.windowStart > 30_000 {
@@ -239,7 +245,7 @@
 	delete(p.notices, n.Notice)
 }
 
-// allows tells whether a call may leave for a destination now, and else when to ask again.
+// allows reports whether a call to a destination may be sent now, and otherwise when to check again.
 func (p *baseline) allows(d *baselineDestination) (ok bool, again rules.Millis) {
 	again = p.now + 10
 	switch p.policy {
@@ -274,12 +280,14 @@
 	return true, 0
 }
 
-// knows is the oracle's gate: no trouble that takes calls acts, and this sender's part of the capacity is free.
+// oracleAllows reports whether no fault that fails calls is active and this sender's share of the capacity is free,
+// and otherwise when to check again.
 func (p *baseline) oracleAllows(d *baselineDestination) (bool, rules.Millis) {
 	at := p.startedAt + p.now
 	truth := p.world.Destinations[d.number-1]
 	for _, f := range truth.Faults {
-		bad := gateway.Outage(f) || f.Kind == scenario.Spoilt || f.Kind == scenario.Errors || f.Kind == scenario.ResetAfter ||
+		bad := gateway.Outage(f) || f.Kind == scenario.Spoilt || f.Kind == scenario.Errors ||
+			f.Kind == scenario.ResetAfter ||
 			f.Kind == scenario.Flap || f.Kind == scenario.Dribble
 		if bad && f.Active(at) {
 			return false, p.now + max(f.Next(at)-at, 1)
@@ -323,11 +331,12 @@
 		p.usedSlots++
 		to.inFlight++
 		d.inFlight++
-		p.emit(rules.Send{Notice: n.Notice, Receiver: to.id, TimeOut: min(p.settings.Grades[n.Grade].QuotedTime, n.until-p.now)})
+		p.emit(rules.Send{Notice: n.Notice, Receiver: to.id, TimeOut: min(p.settings.Grades[n.Grade].QuotedTime,
+			n.until-p.now)})
 	}
 }
 
-// choose takes receivers in turn, or the one with the fewest calls out.
+// chooseReceiver selects a destination's receivers in turn or, for Least, the one with the fewest calls in flight.
 func (p *baseline) chooseReceiver(d *baselineDestination) *baselineReceiver {
 	var best *baselineReceiver
 	d.nextReceiver++
@@ -342,7 +351,7 @@
 	return best
 }
 
-// next is when something is to be looked at again.
+// nextTimer returns when waiting notices must be looked at again.
 func (p *baseline) nextTimer() rules.Millis {
 	if len(p.waiting) == 0 {
 		return never
@@ -350,7 +359,7 @@
 	return max(p.waiting[0].readyAt, p.now+p.settings.Tick)
 }
 
-// byReady is a heap of notices by when they may go.
+// noticesByReady is a heap of notices, ordered by the time from which they may be sent.
 type noticesByReady []*baselineNotice
 
 func (h noticesByReady) Len() int { return len(h) }
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -7,13 +7,13 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// kind is what an event is.
+// eventKind is the kind of an event.
 type eventKind uint8
 
-// event is something that happens at a node: a message from another, or what it asked for itself.
+// event is a message from another node, or an event that a node scheduled for itself.
 type event struct {
 	at         rules.Millis
-	seq        uint64 // of the node that it is from
+	seq        uint64 // of the sending node
 	from, to   int32
 	kind       eventKind
 	value      int64
@@ -23,8 +23,8 @@
 	payload    any
 }
 
-// before orders events by time, then by whom they concern and whom they are from: an order in which no
-// partition of the nodes among workers takes part.
+// before orders events by time, then by receiving and sending node and its sequence number. The order does not
+// depend on how the nodes are distributed over workers.
 func (e *event) before(o *event) bool {
 	switch {
 	case e.at != o.at:
@@ -37,20 +37,20 @@
 	return e.seq < o.seq
 }
 
-// node is a party of the world. Nodes share nothing but what they send each other.
+// node is a participant of the simulation. Nodes interact only through events.
 type node interface{ handle(e *event) }
 
-// port is what a node sends by.
+// port is a node's access to the engine and the network.
 type port struct {
 	id      int32
 	seq     uint64
 	worker  *worker
 	engine  *engine
 	network Network
-	rng     *rand.Rand // of this node's own
+	rng     *rand.Rand // this node's own
 }
 
-// wire draws how long a message takes from here to another node.
+// transitTime draws the time that a message takes from this node to another.
 func (p *port) transitTime() rules.Millis {
 	d := p.network.Delay
 	if p.network.Jitter > 0 {
@@ -62,10 +62,10 @@
 	return d
 }
 
-// now is the time of the event that is being handled.
+// now returns the time of the event that is being handled.
 func (p *port) now() rules.Millis { return p.worker.now }
 
-// post sends an event to a node; to another one it takes the engine's least delay at least.
+// post sends an event to a node. To another node it takes at least the engine's minimum delay.
 func (p *port) post(to int32, after rules.Millis, e event) {
 	if to != p.id && after < p.engine.minDelay {
 		after = p.engine.minDelay
@@ -79,20 +79,21 @@
 	}
 }
 
-// self asks for an event at this node.
+// schedule schedules an event at this node.
 func (p *port) schedule(after rules.Millis, e event) { p.post(p.id, after, e) }
 
-// worker handles the events of some of the nodes in the order of their times.
+// worker handles the events of some of the nodes in the order of time.
 type worker struct {
 	index  int
 	engine *engine
 	now    rules.Millis
 	heap   []event
-	outbox [][]event // for each other worker, from the present window
+	outbox [][]event // by receiving worker, from the current window
 	events int64
 }
 
-// The heap is one of four children: events are large, and most of them go near its end.
+// push adds an event to the heap. Each element of the heap has four children: events are large, and most are added
+// near its end.
 func (w *worker) push(e event) {
 	h := append(w.heap, e)
 	i := len(h) - 1
@@ -149,9 +150,9 @@
 	}
 }
 
-// engine runs the nodes. No message between two nodes takes less than least, so that within a window of that length
-// workers need nothing of each other; events of one node come in an order that does not depend on how many workers
-// there are, and so does all that comes of them.
+// engine runs the nodes. A message between two nodes takes at least minDelay, so within a window of that length
+// workers need nothing from each other. The order of a node's events does not depend on the number of workers, and
+// so neither do the results.
 type engine struct {
 	minDelay rules.Millis
 	nodes    []node
@@ -159,10 +160,11 @@
 	workers  []*worker
 }
 
-// handOut is from how many events in the last window on the next is handed out to the workers.
+// parallelThreshold is the number of events in the last window from which on the next one runs on all workers.
 const parallelThreshold = 24
 
-// newEngine makes an engine for so many nodes; home says by which worker each is run.
+// newEngine creates an engine with this number of nodes and workers; workerOf returns the index of the worker that
+// runs a node.
 func newEngine(least rules.Millis, nodes, workers int, home func(id int) int) *engine {
 	e := &engine{minDelay: least, nodes: make([]node, nodes), workerOf: make([]*worker, nodes)}
 	for i := range workers {
@@ -174,7 +176,7 @@
 	return e
 }
 
-// run goes on until a time, or until told to stop; it tells whether it was not.
+// run runs until a time, or until stop returns true; it reports whether it got to that time.
 func (e *engine) run(until rules.Millis, stop func(now rules.Millis) bool) bool {
 	next := func() rules.Millis {
 		at := until
@@ -196,7 +198,7 @@
 		}
 		return true
 	}
-	lastWindowEvents := int64(0) // events of the last window
+	lastWindowEvents := int64(0)
 	var windowEnds []chan rules.Millis
 	var windowDone sync.WaitGroup
 	for _, w := range e.workers {
@@ -219,7 +221,7 @@
 			return false
 		}
 		to := min(at+e.minDelay, until)
-		// A window with little in it is sooner run here than handed out: results are the same.
+		// A window with few events runs faster on this goroutine; the results are the same.
 		before := e.events()
 		if lastWindowEvents < parallelThreshold {
 			for _, w := range e.workers {
@@ -246,7 +248,7 @@
 	return true
 }
 
-// events is how many were handled.
+// events returns the number of events handled.
 func (e *engine) events() (n int64) {
 	for _, w := range e.workers {
 		n += w.events
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,7 +1,7 @@
-// Package model plays scenarios in simulated time: clients, senders, network, gateways and platform, each a node that
-// shares nothing with the others but messages. Senders run the very rules.Sender that the daemon runs, gateways the very
-// code of the stand-ins (internal/gateway), and scenarios are the very same files. From a world follow all results, to
-// the bit, whatever the number of workers. What the model leaves out is told in docs/lab.md.
+// Package model runs scenarios in simulated time. Clients, senders, network, gateways and platform are nodes that
+// interact only through messages. Senders run the daemon's rules.Sender, gateways the code of the stand-ins
+// (internal/gateway), and the scenario files are the same. All results of a scenario and seed are identical to the
+// bit, whatever the number of workers. What the model leaves out is described in docs/lab.md.
 package model
 
 import (
@@ -17,50 +17,52 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Network is how long messages take.
+// Network describes the latency and loss of messages between nodes.
 type Network struct {
-	Delay, Jitter rules.Millis // one way: the least, and the mean of what comes on top
-	Loss          float64      // share of the messages that the network must send again
+	Delay, Jitter rules.Millis // one way, in ms: the minimum, and the mean of the random extra delay
+	Loss          float64      // share of the messages that are lost once and sent again
 }
 
-// Loopback is what was measured between processes of one machine.
+// Loopback has the latency measured between processes of one machine.
 var Loopback = Network{Delay: 0.1, Jitter: 0.05}
 
-// retransmission is how much later a lost message comes: the least time after which TCP sends again.
+// retransmission is the extra delay of a lost message in milliseconds: TCP's minimum retransmission timeout.
 const retransmission = 200
 
-// Decider is what makes a sender's decisions: rules.Sender, or a baseline.
+// Decider makes a sender's decisions: rules.Sender, or a baseline.
 type Decider interface {
+	// Decide receives the events since the last call and returns the actions to execute.
 	Decide(now rules.Millis, events []rules.Event) []rules.Action
 }
 
-// Policy makes the Decider of one start of a sender, at a time of the run: its own time begins there.
+// Policy creates the Decider of one start of a sender. startedAt is the time of the run at which the Decider's time
+// 0 is.
 type Policy func(seed uint64, settings rules.Settings, began rules.Millis) Decider
 
-// Ours is the policy of the daemon.
+// Daemon is the policy of the daemon.
 func Daemon(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
 	return rules.New(seed, settings)
 }
 
-// Options is how to play a world.
+// Options says how to run a scenario.
 type Options struct {
 	Network Network
-	Policy  Policy // nil: Ours
-	Workers int    // below 1: as many as there are processors; results don't depend on it
-	Record  bool   // keep all that was seen, and audit it
+	Policy  Policy // nil: Daemon
+	Workers int    // below 1: the number of processors; results don't depend on it
+	Record  bool   // keep everything that the audit needs, and audit it
 	Sick    func(destination int) bool
 }
 
-// Bin is the credit of what was to be handed in within a part of the run.
+// Bin is the credit of the effects that were due within one part of the run.
 type Bin struct {
 	Asked  float64 `json:"asked"`
 	Earned float64 `json:"earned"`
 }
 
-// binSpan is how long a Bin is.
+// binSpan is the duration of a Bin in milliseconds.
 const binSpan rules.Millis = 500
 
-// Turned is a change of a breaker.
+// BreakerChange is a change of a breaker's state.
 type BreakerChange struct {
 	At          rules.Millis `json:"at"`
 	Sender      int          `json:"sender"`
@@ -69,7 +71,7 @@
 	Why         string       `json:"why"`
 }
 
-// Result is what a run came to. All figures are the model's.
+// Result is the result of a run. All figures are the model's.
 type Result struct {
 	Scenario   string          `json:"scenario"`
 	Seed       uint64          `json:"seed"`
@@ -87,38 +89,40 @@
 	Further    int             `json:"further"`
 	Second     int             `json:"second_effects"`
 	Short      int             `json:"short"`
-	Falls      int             `json:"falls"` // destinations that fell over on their return
+	Falls      int             `json:"falls"` // recovering destinations that were overloaded again
 	Bins       []Bin           `json:"bins,omitempty"`
 	Events     int64           `json:"events"`
 	Wall       time.Duration   `json:"-"`
-	Broken     bool            `json:"broken,omitempty"` // ended before its time
+	Broken     bool            `json:"broken,omitempty"` // cancelled before its end
 	Turns      []BreakerChange `json:"-"`
 	Breaches   []audit.Breach  `json:"breaches,omitempty"`
 	View       audit.View      `json:"-"`
 }
 
-// The nodes: clients with the platform, then the senders, then the sites.
+// Node numbers: the clients and the platform share the first, then come the senders, then the sites.
 const (
 	outsideNode     = 0
 	firstSenderNode = 1
 )
 
-// world is a scenario's world with what all nodes may read.
+// world is a scenario instance, with data that all nodes may read.
 type world struct {
 	*scenario.World
 	options       Options
 	record        bool
 	turnInterval  rules.Millis
-	receiverNames []string // receivers' names by their ids
+	receiverNames []string // by receiver number
 	receiverIDs   map[string]rules.ReceiverID
-	destinationOf []int32 // by receiver
-	apart         []bool  // by destination
+	destinationOf []int32 // by receiver number
+	apart         []bool  // by destination: each receiver is a separate route
 	kinds         []rules.KindID
 	firstList     rules.ListTold
 }
 
+// receiver returns the number of a receiver.
 func (w *world) receiver(name string) rules.ReceiverID { return w.receiverIDs[name] }
 
+// addReceiver gives a receiver a number, if it has none.
 func (w *world) addReceiver(name string, destination int) {
 	if _, known := w.receiverIDs[name]; known {
 		return
@@ -128,10 +132,12 @@
 	w.destinationOf = append(w.destinationOf, int32(destination))
 }
 
+// siteNode returns the node number of a destination's site.
 func (w *world) siteNode(destination int) int32 {
 	return int32(firstSenderNode + w.Senders + destination - 1)
 }
 
+// isFailing reports whether results count a destination as failing.
 func (w *world) isFailing(destination int) bool {
 	if w.options.Sick != nil {
 		return w.options.Sick(destination)
@@ -139,10 +145,12 @@
 	return len(w.Destinations[destination-1].Faults) > 0
 }
 
+// listEntry returns the entry of a receiver in the receiver list.
 func (w *world) listEntry(name, standing string) rules.Entry {
 	id := w.receiverIDs[name]
 	d := int(w.destinationOf[id])
-	e := rules.Entry{Receiver: id, Destination: rules.DestinationID(d), Kind: w.kinds[d], ListedRate: w.Destinations[d-1].Group.Shape.Limit}
+	e := rules.Entry{Receiver: id, Destination: rules.DestinationID(d), Kind: w.kinds[d],
+		ListedRate: w.Destinations[d-1].Group.Shape.Limit}
 	switch standing {
 	case "ready":
 		e.Standing = rules.Ready
@@ -152,6 +160,7 @@
 	return e
 }
 
+// newDecider creates a sender's Decider by the policy of the run.
 func (w *world) newDecider(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider {
 	if w.options.Policy != nil {
 		return w.options.Policy(seed, settings, startedAt)
@@ -159,13 +168,16 @@
 	return Daemon(seed, settings, startedAt)
 }
 
+// senderSeed derives the seed of one start of a sender.
 func senderSeed(seed uint64, sender int, startCount uint64) uint64 {
 	return scenario.Chance(seed, 1<<42+uint64(sender)+startCount<<32).Uint64()
 }
 
+// toMillis converts a duration to milliseconds.
 func toMillis(d time.Duration) rules.Millis { return rules.Millis(d) / rules.Millis(time.Millisecond) }
 
-// Run plays a scenario. A context that ends breaks it off: the result then tells what was so far, and is Broken.
+// Run runs a scenario. If the context ends first, the run is cancelled: the result covers the time until then and
+// is marked Broken.
 func Run(ctx context.Context, played *scenario.Scenario, options Options) *Result {
 	startedAt := time.Now()
 	if options.Network.Delay <= 0 {
@@ -175,9 +187,10 @@
 	if workers < 1 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	run := &world{World: scenario.Lay(played), options: options, record: options.Record, turnInterval: played.Settings.Tick / 10, receiverIDs: map[string]rules.ReceiverID{}}
+	run := &world{World: scenario.Lay(played), options: options, record: options.Record,
+		turnInterval: played.Settings.Tick / 10, receiverIDs: map[string]rules.ReceiverID{}}
 	run.apart, run.kinds = make([]bool, len(run.Destinations)+1), make([]rules.KindID, len(run.Destinations)+1)
-	// Number 0 is nobody's, so that no receiver is taken for none.
+	// Receiver number 0 is reserved for "no receiver".
 	run.receiverNames, run.destinationOf = []string{""}, []int32{0}
 	for _, d := range run.Destinations {
 		if k := slices.Index(run.Names.Kinds, d.Group.Kind); k >= 0 {
@@ -199,7 +212,8 @@
 	workers = max(min(workers, nodes/8), 1)
 	eng := newEngine(options.Network.Delay, nodes, workers, func(id int) int { return id % workers })
 	port := func(id int) port {
-		return port{id: int32(id), worker: eng.workerOf[id], engine: eng, network: options.Network, rng: rand.New(rand.NewPCG(played.Seed, 1<<43+uint64(id)))}
+		return port{id: int32(id), worker: eng.workerOf[id], engine: eng, network: options.Network,
+			rng: rand.New(rand.NewPCG(played.Seed, 1<<43+uint64(id)))}
 	}
 	clients := newClient(run, port(outsideNode))
 	eng.nodes[outsideNode] = clients
@@ -215,7 +229,7 @@
 		sites = append(sites, one)
 		eng.nodes[one.id] = one
 	}
-	// Messages of the beginning went to workers' boxes.
+	// Events posted while the nodes were created are still in the workers' outboxes.
 	for _, from := range eng.workers {
 		for place, events := range from.outbox {
 			for _, x := range events {
@@ -228,8 +242,10 @@
 	whole := eng.run(until, func(rules.Millis) bool { return ctx.Err() != nil })
 	clients.worker.now = max(clients.worker.now, until)
 	clients.settleEffects(true)
-	result := &Result{Scenario: played.Name, Seed: played.Seed, All: clients.all.Share(), Well: clients.healthy.Share(), Sick: clients.failing.Share(), Handed: clients.counts.submitted,
-		Taken: clients.counts.accepted, Refused: clients.counts.refused, Unanswered: clients.counts.unanswered, Dismissed: clients.counts.dismissed,
+	result := &Result{Scenario: played.Name, Seed: played.Seed, All: clients.all.Share(),
+		Well: clients.healthy.Share(), Sick: clients.failing.Share(), Handed: clients.counts.submitted,
+		Taken: clients.counts.accepted, Refused: clients.counts.refused, Unanswered: clients.counts.unanswered,
+		Dismissed: clients.counts.dismissed,
 		BrokenOff: clients.counts.brokenOff, Bins: clients.bins, Events: eng.events(), Broken: !whole}
 	for _, g := range clients.grades {
 		result.Grades = append(result.Grades, g.Share())
@@ -255,15 +271,17 @@
 	return result
 }
 
-// tolerances of the auditor: nothing is late for want of a processor here, but messages still take their time.
+// tolerances of the audit, in ms: nothing is delayed by a lack of processors here, but messages still take time.
 var tolerances = audit.Tolerances{Slack: 5, Lost: 300, Restart: 1500, Drain: 1000, Wait: 20, Crossing: 20}
 
-// view puts together what all nodes saw.
+// view collects what all nodes recorded, for the audit.
 func view(c *client, senders []*sender, sites []*site) audit.View {
 	v := audit.View{Ends: c.outcomes, Shut: c.refusals}
 	for _, h := range c.submissions {
-		v.Hands = append(v.Hands, audit.Hand{ID: h.id, Effect: effectName(h.effect), Mark: h.effect.idempotencyKey, Grade: h.effect.Grade,
-			Portfolio: h.effect.Portfolio, Key: h.effect.Key, Dest: h.effect.Destination, Sender: h.sender, At: h.submittedAt, Until: h.deadline, Intended: h.effect.At,
+		v.Hands = append(v.Hands, audit.Hand{ID: h.id, Effect: effectName(h.effect),
+			Mark: h.effect.idempotencyKey, Grade: h.effect.Grade,
+			Portfolio: h.effect.Portfolio, Key: h.effect.Key, Dest: h.effect.Destination, Sender: h.sender,
+			At: h.submittedAt, Until: h.deadline, Intended: h.effect.At,
 			Again: h.resubmission, Status: h.status, Answered: h.answeredAt})
 	}
 	for _, s := range sites {
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -60,7 +60,8 @@
 		one := tell(1)
 		for _, workers := range []int{2, 3} {
 			if other := tell(workers); other != one {
-				t.Errorf("seed %d: %d workers tell something else: %s", seed+1, workers, cmp.Diff(one[:min(2000, len(one))], other[:min(2000, len(other))]))
+				t.Errorf("seed %d: %d workers tell something else: %s", seed+1, workers, cmp.Diff(one[:min(2000,
+					len(one))], other[:min(2000, len(other))]))
 			}
 		}
 	}
@@ -70,7 +71,8 @@
 func TestHeap(t *testing.T) {
 	w, draw := &worker{}, rand.New(rand.NewPCG(1, 1))
 	for i := range 5000 {
-		w.push(event{at: rules.Millis(draw.IntN(50)), to: int32(draw.IntN(5)), from: int32(draw.IntN(5)), seq: uint64(i)})
+		w.push(event{at: rules.Millis(draw.IntN(50)), to: int32(draw.IntN(5)), from: int32(draw.IntN(5)),
+			seq: uint64(i)})
 		if draw.IntN(3) == 0 {
 			w.pop()
 		}
@@ -111,7 +113,8 @@
 	}
 	found := map[audit.Rule]int{}
 	for seed := range uint64(seeds(t, 20)) {
-		for _, b := range Run(context.Background(), load(t, "brief", seed+1, true), Options{Workers: 1, Record: true, Policy: wrong}).Breaches {
+		for _, b := range Run(context.Background(), load(t, "brief", seed+1, true), Options{Workers: 1,
+			Record: true, Policy: wrong}).Breaches {
 			found[b.Rule]++
 		}
 	}
--- a/internal/model/outside.go
+++ b/internal/model/outside.go
@@ -12,53 +12,54 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Events at the outside: clients and the platform.
+// Events handled by the clients and the platform; the comment names the fields of the event that are used.
 const (
-	evArrival            eventKind = iota + 60 // its own: the next notice is due
-	evResubmit                                 // its own, hand: a client hands in once more
-	evSubmissionAnswered                       // hand, n: the status, more: the wait told
-	evClientTimeout                            // its own, hand: its client waits no longer
-	evOutcome                                  // hand, n, more: an end
-	evWatchList                                // a sender asks for changes of the list
-	evScriptStep                               // its own, more: a step of the script
-	evSenderKnownDown                          // its own, n: clients have noticed that a sender is dead
-	evSettle                                   // its own: look what notices came to
+	evArrival            eventKind = iota + 60 // own event: the next effect is due
+	evResubmit                                 // own event, submission: a client submits again
+	evSubmissionAnswered                       // submission, value: the status, payload: the Retry-After wait
+	evClientTimeout                            // own event, submission: its client stops waiting for an answer
+	evOutcome                                  // submission, value, payload: a final outcome
+	evWatchList                                // a sender subscribes to changes of the receiver list
+	evScriptStep                               // own event, value: index of the script step to run
+	evSenderKnownDown                          // own event, value: clients have noticed that this sender is down
+	evSettle                                   // own event: count the effects whose time is over
 )
 
-// lostAnswer is the status of a hand-in that the sender read and never answered; 0: it can't have read it.
+// statusNoAnswer is the status of a submission that the sender may have read but never answered. Status 0 means
+// that the sender cannot have read it.
 const statusNoAnswer = -1
 
-// effect is what a client wants done, however often it is handed in.
+// effect is what a client wants to happen, however often it is submitted.
 type effect struct {
 	scenario.Arrival
 	number         int
 	idempotencyKey string
 
-	// The site's.
-	deliveredAt rules.Millis // first; below 0: not
+	// Written by the site.
+	deliveredAt rules.Millis // first delivery; negative: not delivered
 	runs        int
 }
 
-// hand is one hand-in of an effect.
+// submission is one submission of an effect to a sender.
 type submission struct {
 	effect                *effect
-	id                    string // where all is recorded
+	id                    string // set only if the run is recorded
 	submittedAt, deadline rules.Millis
 	resubmission          bool
 	sender                int
 	status                int
 	answeredAt            rules.Millis
-	settled               bool // answered, or its client waits no longer
-	called                bool // the site's
+	settled               bool // answered, or its client has stopped waiting
+	called                bool // written by the site: a gateway has read a call for it
 }
 
-// endOf is an end as a sender tells it.
+// outcomeReport is a final outcome as a sender reports it.
 type outcomeReport struct {
 	outcome    string
 	retryAfter rules.Millis
 }
 
-// client is all clients, and the platform.
+// client simulates all clients, and the platform.
 type client struct {
 	port
 	world        *world
@@ -68,12 +69,12 @@
 	rng          *rand.Rand
 	effectCount  int
 	dealCount    int
-	senderStates []int8 // of each sender: 0 serves, 1 dead and not known to be, 2 dead
+	senderStates []int8 // by sender: 0 up, 1 down but clients have not noticed, 2 known to be down
 	watching     []bool
 	script       []scriptStep
-	currentList  []audit.Told // in force now, in the order told
+	currentList  []audit.Told // the receiver list now in force, in the order of the changes
 
-	openEffects []*effect // by the time at which all is over
+	openEffects []*effect // not settled yet
 	all         *results.Tally
 	grades      []*results.Tally
 	healthy     *results.Tally
@@ -86,15 +87,18 @@
 	counts      struct{ submitted, accepted, refused, unanswered, dismissed, brokenOff int }
 }
 
-// step is a change that the script makes at a time.
+// scriptStep is a change at a fixed time.
 type scriptStep struct {
 	at  rules.Millis
 	run func()
 }
 
+// newClient creates the clients and the platform, and schedules the script and the first effect.
 func newClient(w *world, p port) *client {
-	c := &client{port: p, world: w, arrivals: w.Arrivals(), rng: scenario.Chance(w.Seed, 1<<40), senderStates: make([]int8, w.Senders),
-		watching: make([]bool, w.Senders), all: results.NewTally("all"), healthy: results.NewTally("well"), failing: results.NewTally("sick")}
+	c := &client{port: p, world: w, arrivals: w.Arrivals(), rng: scenario.Chance(w.Seed, 1<<40),
+		senderStates: make([]int8, w.Senders),
+		watching:     make([]bool, w.Senders), all: results.NewTally("all"), healthy: results.NewTally("well"),
+		failing: results.NewTally("sick")}
 	for _, name := range w.Names.Grades {
 		c.grades = append(c.grades, results.NewTally(name))
 	}
@@ -108,12 +112,14 @@
 	return c
 }
 
+// scheduleNextArrival schedules the next effect, if there is one.
 func (c *client) scheduleNextArrival() {
 	if c.nextArrival, c.hasNext = c.arrivals.Next(); c.hasNext {
 		c.schedule(max(c.nextArrival.At-c.now(), 0), event{kind: evArrival})
 	}
 }
 
+// handle processes one event.
 func (c *client) handle(e *event) {
 	switch e.kind {
 	case evArrival:
@@ -149,7 +155,7 @@
 	}
 }
 
-// choose deals notices out over the senders, but for those known to be dead.
+// chooseSender distributes submissions over the senders in turn, except those known to be down.
 func (c *client) chooseSender() int {
 	n := c.world.Senders
 	c.dealCount++
@@ -161,14 +167,15 @@
 	return c.dealCount % n
 }
 
-// hand hands an effect in.
+// submit submits an effect to a sender, unless its client timeout is over.
 func (c *client) submit(eff *effect, resubmission bool) {
 	now := c.now()
 	until := eff.At + c.world.Settings.Grades[eff.Grade].ClientTimeout
 	if until-now < 1 {
 		return
 	}
-	h := &submission{effect: eff, submittedAt: now, deadline: until, resubmission: resubmission, sender: c.chooseSender()}
+	h := &submission{effect: eff, submittedAt: now, deadline: until, resubmission: resubmission,
+		sender: c.chooseSender()}
 	c.counts.submitted++
 	if c.world.record {
 		h.id = fmt.Sprintf("n%d-e%d", len(c.submissions)+1, eff.number)
@@ -178,7 +185,7 @@
 	c.schedule(c.world.Traffic.Patience, event{kind: evClientTimeout, submission: h})
 }
 
-// answered hears a sender's answer, or that there is none.
+// handleAnswer handles a sender's answer, or the lack of one.
 func (c *client) handleAnswer(sub *submission, status int, retryAfter rules.Millis) {
 	if sub.settled {
 		return
@@ -202,7 +209,7 @@
 	}
 }
 
-// again hands a dismissed effect in once more after a while, if its client wants it and there is time.
+// resubmitLater submits an effect again after a delay, if its client wants that and the client timeout allows it.
 func (c *client) resubmitLater(sub *submission, after rules.Millis) {
 	wants := c.rng.Float64() < c.world.Traffic.Again
 	if wants && c.now()+after < sub.deadline {
@@ -210,7 +217,7 @@
 	}
 }
 
-// end takes an end from a sender.
+// handleOutcome accepts a sender's final outcome, or refuses it while the platform's fault is active.
 func (c *client) handleOutcome(e *event) {
 	back := event{kind: evOutcomeAccepted, value: e.value}
 	sender := int(e.from) - firstSenderNode
@@ -220,7 +227,8 @@
 	} else {
 		end := e.payload.(outcomeReport)
 		if c.world.record {
-			c.outcomes = append(c.outcomes, audit.End{ID: e.submission.id, Outcome: end.outcome, Sender: sender, At: c.now()})
+			c.outcomes = append(c.outcomes, audit.End{ID: e.submission.id, Outcome: end.outcome, Sender: sender,
+				At: c.now()})
 		}
 		if end.outcome == "handed_back" {
 			c.counts.dismissed++
@@ -232,6 +240,7 @@
 	c.post(e.from, c.transitTime(), back)
 }
 
+// activeFault returns the active fault of a kind, if there is one.
 func (c *client) activeFault(kind string) (scenario.Fault, bool) {
 	for _, f := range c.world.Faults {
 		if f.Kind == kind && f.Active(c.now()) {
@@ -241,7 +250,7 @@
 	return scenario.Fault{}, false
 }
 
-// watch begins to tell a sender changes of the list; what changed before it asked is told whole.
+// startWatch subscribes a sender to changes of the receiver list. The whole list is sent first.
 func (c *client) startWatch(sender int) {
 	to := int32(sender + firstSenderNode)
 	if f, on := c.activeFault(scenario.ListSilent); on && c.world.Settings.ListOnAsk {
@@ -252,6 +261,7 @@
 	c.post(to, c.transitTime(), event{kind: evListReport, payload: c.newListReport(true, c.currentList)})
 }
 
+// newListReport creates a report of the whole receiver list or of changes.
 func (c *client) newListReport(whole bool, receivers []audit.Told) listReport {
 	t := listReport{list: rules.ListTold{Whole: whole}, receivers: slices.Clone(receivers)}
 	for _, m := range receivers {
@@ -260,7 +270,8 @@
 	return t
 }
 
-// change tells all that watch of changes; while the platform says nothing, or nothing that can be read, they wait.
+// applyListChange changes the receiver list and reports the change to all subscribed senders. While the platform is
+// silent or sends data that cannot be parsed, the reports wait.
 func (c *client) applyListChange(changes []audit.Told) {
 	for _, m := range changes {
 		i := slices.IndexFunc(c.currentList, func(o audit.Told) bool { return o.Receiver == m.Receiver })
@@ -281,12 +292,13 @@
 	}
 	for sender, watches := range c.watching {
 		if watches {
-			c.post(int32(sender+firstSenderNode), delay+c.transitTime(), event{kind: evListReport, payload: c.newListReport(false, changes)})
+			c.post(int32(sender+firstSenderNode), delay+c.transitTime(), event{kind: evListReport,
+				payload: c.newListReport(false, changes)})
 		}
 	}
 }
 
-// writeScript writes down what the platform and the senders' faults do at what times.
+// buildScript builds the script: the changes that the platform makes and the faults of the senders, by time.
 func (c *client) buildScript() {
 	add := func(at rules.Millis, run func()) { c.script = append(c.script, scriptStep{at, run}) }
 	for _, d := range c.world.Destinations {
@@ -336,7 +348,7 @@
 		for _, n := range c.world.Struck[i] {
 			to := int32(n + firstSenderNode)
 			notify := func(k eventKind, more int64) { c.post(to, 0, event{kind: k, value: more}) }
-			restart := func() { // with the list as it is now
+			restart := func() { // with the receiver list as it is at the restart
 				c.post(to, 0, event{kind: evRestart, payload: c.newListReport(true, c.currentList).list})
 				c.senderStates[n] = 0
 			}
@@ -363,7 +375,7 @@
 	slices.SortStableFunc(c.script, func(a, b scriptStep) int { return cmp.Compare(a.at, b.at) })
 }
 
-// settle counts the effects whose time is over; with all, the others too.
+// settleEffects counts the credit of the effects whose time is over; with all set, of the others too.
 func (c *client) settleEffects(all bool) {
 	kept := c.openEffects[:0]
 	for _, eff := range c.openEffects {
@@ -391,4 +403,5 @@
 	c.openEffects = kept
 }
 
+// effectName returns an effect's identifier in the audit.
 func effectName(e *effect) string { return fmt.Sprintf("e%d", e.number) }
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -10,67 +10,67 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Events at a sender.
+// Events handled by a sender; the comment names the fields of the event that are used.
 const (
-	evConnected       eventKind = iota + 20 // conn: it came up
-	evConnectRefused                        // conn: it did not
-	evConnReset                             // conn: it was reset
-	evResponse                              // call, more: a reply
-	evSubmission                            // hand: a client hands a notice in
-	evTurn                                  // its own: a turn is due
-	evDeciderTimer                          // its own: the decisions asked for it
-	evTimeoutCheck                          // its own: something times out
-	evListReport                            // more: a rules.ListTold with what was told
-	evListFailed                            // the list could not be had
-	evOutcomeAccepted                       // n: the platform took the end of a notice
-	evOutcomeRefused                        // n: it did not
-	evReportOutcome                         // its own, n: an end is told again
+	evConnected       eventKind = iota + 20 // conn: connection established
+	evConnectRefused                        // conn: connection refused
+	evConnReset                             // conn: connection reset by the site
+	evResponse                              // call, payload: a response
+	evSubmission                            // submission: a client submits a notice
+	evTurn                                  // own event: a turn is due
+	evDeciderTimer                          // own event: the timer that the decider set
+	evTimeoutCheck                          // own event: the next timeout to check
+	evListReport                            // payload: a listReport
+	evListFailed                            // the receiver list could not be read
+	evOutcomeAccepted                       // value: the platform accepted the final outcome of this notice
+	evOutcomeRefused                        // value: the platform did not accept it
+	evReportOutcome                         // own event, value: time to report this notice's final outcome again
 	evKill
 	evRestart
 	evShutdown
-	evExitCheck // its own: out, whatever is still open
+	evExitCheck // own event, during shutdown: time to check whether the process may exit
 	evPause
 	evResume
-	evDescriptorLimit // n: so many descriptors more; below 0: as many as ever
+	evDescriptorLimit // value: how many more descriptors may be opened; negative: the fault is over
 )
 
-// held is a notice that a sender owes its end, with what its ledger would have of it.
+// heldNotice is a notice whose final outcome is pending, with what the ledger would record of it.
 type heldNotice struct {
 	submission      *submission
 	id              rules.NoticeID
 	deadline        rules.Millis
-	waited          rules.Millis // to be read
+	waited          rules.Millis // from the submission until the sender read it
 	call            *call
-	trips           int            // made
-	mayHaveRunAt    []rules.Millis // when those that may have run were sent
-	tripRecorded    bool           // the trip that is out is among them
+	trips           int            // started so far
+	mayHaveRunAt    []rules.Millis // times at which the trips that may have taken effect were sent
+	tripRecorded    bool           // the trip in flight has an entry in mayHaveRunAt
 	done            bool
-	outcome         string // the end that the platform has not taken yet
+	outcome         string // final outcome to report; empty: none yet
 	retryAfter      rules.Millis
-	reportBackoff   rules.Millis // pause before the end is told again
-	outcomeAccepted bool         // the platform has it
+	reportBackoff   rules.Millis // delay before the final outcome is reported again
+	outcomeAccepted bool         // the platform accepted the final outcome
 }
 
-// told is what the list said, for the record.
+// listReport is a report of the receiver list, with the entries that the auditor records.
 type listReport struct {
 	list      rules.ListTold
 	receivers []audit.Told
 }
 
-// sender is a process that runs a Decider, as internal/loop does on sockets.
+// sender simulates a process that runs a Decider, as internal/loop does with sockets.
 type sender struct {
 	port
 	world      *world
 	number     int
 	limits     limits.Limits
 	decider    Decider
-	startCount uint64 // so many times it was started
+	startCount uint64 // how often the process has started; events of an earlier start are ignored
 	startedAt  rules.Millis
 
 	alive, paused, shuttingDown, sending bool
-	restartAfterExit                     bool           // once it has left
-	initialList                          rules.ListTold // the list, as it starts
-	deferredEvents                       []event        // what came while it stood still
+	restartAfterExit                     bool           // start again after the exit
+	initialList                          rules.ListTold // the receiver list at the next start
+	deferredEvents                       []event        // events that arrived while the process was paused
 	events                               []rules.Event
 	unanswered                           []*heldNotice
 	notices                              map[rules.NoticeID]*heldNotice
@@ -81,7 +81,7 @@
 	idleConns                            map[rules.ReceiverID][]*conn
 	inFlight                             callsByTimeout
 	timeoutCheckAt                       rules.Millis
-	connLimit                            int // connections that the descriptors allow
+	connLimit                            int // maximum number of connections that the descriptors allow
 	usedCapacity                         float64
 
 	listRecords    []audit.Told
@@ -90,20 +90,23 @@
 	counts         struct{ trips, furtherTrips, localShortages, dismissed, brokenOff, refused, turns int }
 }
 
+// never is a time after the end of any run.
 const never = rules.Millis(1e300)
 
+// newSender creates a sender and starts it.
 func newSender(w *world, p port, number int) *sender {
-	s := &sender{port: p, world: w, number: number, notices: map[rules.NoticeID]*heldNotice{}, timeoutCheckAt: never, initialList: w.firstList}
+	s := &sender{port: p, world: w, number: number, notices: map[rules.NoticeID]*heldNotice{},
+		timeoutCheckAt: never, initialList: w.firstList}
 	s.limits = limits.For(w.Machine, w.Settings, connectTime)
 	s.connLimit = s.limits.Receivers
 	s.start()
 	return s
 }
 
-// connectTime is how long a connection may take to come up: the daemon's default.
+// connectTime is the connect timeout in milliseconds: the daemon's default.
 const connectTime = 1000
 
-// start begins a process: with what the ledger kept of an earlier one.
+// start starts the process with the notices that the ledger kept from the previous one.
 func (s *sender) start() {
 	s.startCount++
 	settings := s.world.Settings
@@ -116,7 +119,8 @@
 	s.alive, s.shuttingDown, s.sending, s.startedAt, s.turnDue = true, false, true, s.now(), false
 	s.decider = s.world.newDecider(senderSeed(s.world.Seed, s.number, s.startCount), settings, s.now())
 	s.events, s.unanswered = nil, nil
-	s.conns, s.idleConns, s.inFlight, s.timeoutCheckAt, s.usedCapacity = nil, map[rules.ReceiverID][]*conn{}, nil, never, 0
+	s.conns, s.idleConns, s.inFlight, s.timeoutCheckAt, s.usedCapacity = nil, map[rules.ReceiverID][]*conn{},
+		nil, never, 0
 	numbers := make([]rules.NoticeID, 0, len(s.notices))
 	for n := range s.notices {
 		numbers = append(numbers, n)
@@ -149,6 +153,7 @@
 	s.scheduleTurn()
 }
 
+// acceptedEvent describes a notice to the decider.
 func (s *sender) acceptedEvent(h *heldNotice) rules.NoticeTaken {
 	eff := h.submission.effect
 	return rules.NoticeTaken{Notice: h.id, Grade: rules.GradeID(eff.Grade), Portfolio: rules.PortfolioID(eff.Portfolio),
@@ -156,11 +161,13 @@
 		Waited: h.waited, Room: s.capacityOf(h)}
 }
 
+// capacityOf returns the share of the sender's capacity (memory or disk, whichever is greater) that a notice uses.
 func (s *sender) capacityOf(h *heldNotice) float64 {
 	buffers := (h.submission.effect.Body + s.limits.Buffer - 1) / s.limits.Buffer * s.limits.Buffer
 	return max(float64(buffers)/float64(s.limits.HeldBytes), ledger.Share(s.limits.Disk, h.submission.effect.Body))
 }
 
+// handle processes one event. A paused process defers it; a process that has exited ignores most events.
 func (s *sender) handle(e *event) {
 	if s.paused && e.kind != evResume && e.kind != evKill {
 		s.deferredEvents = append(s.deferredEvents, *e)
@@ -247,13 +254,13 @@
 	}
 }
 
-// happened tells the decisions of something, in the next turn.
+// queueEvent passes an event to the decider at the next turn.
 func (s *sender) queueEvent(e rules.Event) {
 	s.events = append(s.events, e)
 	s.scheduleTurn()
 }
 
-// wake asks for a turn.
+// scheduleTurn schedules a turn unless one is scheduled already.
 func (s *sender) scheduleTurn() {
 	if !s.turnDue {
 		s.turnDue = true
@@ -261,10 +268,11 @@
 	}
 }
 
-// take hears a client.
+// accept accepts or rejects a submission.
 func (s *sender) accept(sub *submission) {
 	answer := func(status int, after rules.Millis) {
-		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: sub, value: int64(status), payload: after})
+		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: sub,
+			value: int64(status), payload: after})
 	}
 	full := s.world.Settings.HoldLimit > 0 && len(s.notices) >= s.world.Settings.HoldLimit
 	switch {
@@ -275,7 +283,8 @@
 		answer(503, 0)
 	default:
 		s.lastID++
-		n := &heldNotice{submission: sub, id: s.lastID, deadline: s.now() + sub.deadline - sub.submittedAt, waited: s.now() - sub.submittedAt}
+		n := &heldNotice{submission: sub, id: s.lastID, deadline: s.now() + sub.deadline - sub.submittedAt,
+			waited: s.now() - sub.submittedAt}
 		if room := s.capacityOf(n); full || s.usedCapacity+room > 1 {
 			s.counts.refused++
 			answer(503, 0)
@@ -288,7 +297,7 @@
 	}
 }
 
-// turn lets the decisions be made and carries them out.
+// runTurn passes the queued events to the decider, answers new submissions and executes the decider's actions.
 func (s *sender) runTurn() {
 	s.turnDue, s.lastTurnAt = false, s.now()
 	s.counts.turns++
@@ -314,13 +323,15 @@
 			s.counts.refused++
 			s.removeNotice(h)
 		}
-		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission, value: int64(status), payload: after})
+		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission,
+			value: int64(status), payload: after})
 	}
 	for _, a := range actions {
 		s.execute(a)
 	}
 }
 
+// execute carries out one action of the decider.
 func (s *sender) execute(action rules.Action) {
 	switch a := action.(type) {
 	case rules.Send:
@@ -353,14 +364,16 @@
 		s.post(outsideNode, s.transitTime(), event{kind: evWatchList})
 	case rules.Turned:
 		if s.world.record {
-			s.breakerChanges = append(s.breakerChanges, BreakerChange{At: s.now(), Sender: s.number, Destination: int(a.Destination), State: a.State, Why: a.Why})
+			s.breakerChanges = append(s.breakerChanges, BreakerChange{At: s.now(), Sender: s.number,
+				Destination: int(a.Destination), State: a.State, Why: a.Why})
 		}
 	}
 }
 
-// send begins a trip, on an idle connection if there is one.
+// send starts a trip, on an idle connection if there is one.
 func (s *sender) send(h *heldNotice, a rules.Send) {
-	c := &call{submission: h.submission, notice: h.id, receiver: a.Receiver, startedAt: s.now(), timeoutAt: s.now() + a.TimeOut, inFlight: true}
+	c := &call{submission: h.submission, notice: h.id, receiver: a.Receiver, startedAt: s.now(),
+		timeoutAt: s.now() + a.TimeOut, inFlight: true}
 	h.call = c
 	s.counts.trips++
 	if h.trips++; h.trips > 1 {
@@ -385,18 +398,21 @@
 		s.finishTrip(c, rules.TripEnded{Result: rules.Short})
 		return
 	}
-	l := &conn{sender: s.id, receiver: a.Receiver, call: c, lastUsed: s.now(), connectDeadline: s.now() + connectTime, senderIndex: len(s.conns)}
+	l := &conn{sender: s.id, receiver: a.Receiver, call: c, lastUsed: s.now(),
+		connectDeadline: s.now() + connectTime, senderIndex: len(s.conns)}
 	s.conns = append(s.conns, l)
 	c.conn = l
 	s.scheduleTimeoutCheck(l.connectDeadline)
 	s.postToSite(c.submission, event{kind: evConnect, conn: l})
 }
 
+// postToSite sends an event to the site of a submission's destination.
 func (s *sender) postToSite(sub *submission, e event) {
 	to := s.world.siteNode(sub.effect.Destination)
 	s.post(to, s.transitTime(), e)
 }
 
+// closeOldest closes the connection that has been idle for longest; it returns false if none is idle.
 func (s *sender) closeOldest() bool {
 	var oldest *conn
 	for _, l := range s.conns {
@@ -410,16 +426,16 @@
 	return oldest != nil
 }
 
-// opened asks whether the call that waited for its connection may still leave.
+// connUp asks the decider whether the call that waited for this connection may still be written.
 func (s *sender) connUp(cn *conn) {
 	if cn.closed {
-		return // given up meanwhile; the site has heard
+		return // closed in the meantime; the site has been notified
 	}
 	cn.established = true
 	s.queueEvent(rules.ConnectionUp{Notice: cn.call.notice})
 }
 
-// recall takes a call back whose connection has come up, and keeps the connection.
+// recallCall withdraws a call before it is written and keeps its connection, which has been established.
 func (s *sender) recallCall(c *call) {
 	l := c.conn
 	l.call, l.lastUsed = nil, s.now()
@@ -429,7 +445,7 @@
 	s.finishTrip(c, rules.TripEnded{Result: rules.Recalled})
 }
 
-// write hands a call to its connection: its trip is in the ledger from here on.
+// writeCall writes a call to its connection. From here on the trip is in the ledger.
 func (s *sender) writeCall(cn *conn) {
 	c := cn.call
 	h := s.notices[c.notice]
@@ -438,7 +454,7 @@
 	s.postToSite(c.submission, event{kind: evCall, call: c})
 }
 
-// ended hears the end of a connection.
+// connEnded handles a connection that was refused or reset.
 func (s *sender) connEnded(cn *conn, result rules.Result) {
 	if cn.closed {
 		return
@@ -455,7 +471,7 @@
 	s.finishTrip(c, rules.TripEnded{Result: result})
 }
 
-// reply hears an answer.
+// handleResponse classifies a response and ends its trip.
 func (s *sender) handleResponse(c *call, r response) {
 	l := c.conn
 	if l.closed || l.call != c || !c.inFlight {
@@ -482,7 +498,7 @@
 	s.finishTrip(c, e)
 }
 
-// tell books a trip's outcome and tells the decisions.
+// finishTrip records a trip's result and reports it to the decider.
 func (s *sender) finishTrip(c *call, e rules.TripEnded) {
 	c.inFlight = false
 	heap.Remove(&s.inFlight, c.heapIndex)
@@ -490,7 +506,8 @@
 	h.call = nil
 	e.Notice, e.Receiver, e.Spent = c.notice, c.receiver, s.now()-c.startedAt
 	e.Over = e.Over || e.Result == rules.Handled
-	unrun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot || e.Result == rules.Short ||
+	unrun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot ||
+		e.Result == rules.Short ||
 		e.Result == rules.Recalled
 	if h.tripRecorded && unrun {
 		h.mayHaveRunAt = h.mayHaveRunAt[:len(h.mayHaveRunAt)-1]
@@ -513,7 +530,8 @@
 	s.queueEvent(e)
 }
 
-// mayBeLate tells whether an answer heard now may have come after its notice's time, as far as the policy knows.
+// mayBeLate reports whether a response received now may come after its notice's client timeout, as far as the
+// decider knows.
 func (s *sender) mayBeLate(n rules.NoticeID) bool {
 	judge, knows := s.decider.(interface {
 		AnswerMayBeLate(rules.NoticeID, rules.Millis) bool
@@ -521,11 +539,11 @@
 	return knows && judge.AnswerMayBeLate(n, s.now()-s.startedAt)
 }
 
-// end gives a notice its end.
+// endNotice sets the final outcome of a notice and reports it.
 func (s *sender) endNotice(id rules.NoticeID, outcome string, retryAfter rules.Millis) {
 	h := s.notices[id]
 	if h == nil {
-		return // told in its own turn
+		return // rejected in the turn that accepted it
 	}
 	if outcome == "given_up" {
 		s.counts.brokenOff++
@@ -537,18 +555,21 @@
 	s.reportOutcome(h)
 }
 
-// tellEnd hands an end in to the platform; one that was not taken comes again, later each time.
+// reportOutcome reports a final outcome to the platform and doubles the delay before the next attempt, up to a
+// limit.
 func (s *sender) reportOutcome(h *heldNotice) {
-	s.post(outsideNode, s.transitTime(), event{kind: evOutcome, submission: h.submission, value: int64(h.id), payload: outcomeReport{h.outcome, h.retryAfter}})
+	s.post(outsideNode, s.transitTime(), event{kind: evOutcome, submission: h.submission, value: int64(h.id),
+		payload: outcomeReport{h.outcome, h.retryAfter}})
 	h.reportBackoff = min(max(2*h.reportBackoff, toMillis(s.limits.BackOff)), toMillis(s.limits.BackOffMost))
 }
 
+// removeNotice removes a notice and frees its capacity.
 func (s *sender) removeNotice(h *heldNotice) {
 	s.usedCapacity -= s.capacityOf(h)
 	delete(s.notices, h.id)
 }
 
-// giveUp ends a call from this side. One that was not written cannot have run.
+// abortCall ends a call and its connection from this side. A call that was not written cannot have taken effect.
 func (s *sender) abortCall(c *call, result rules.Result) {
 	if !c.written {
 		result = rules.NotConnected
@@ -558,15 +579,17 @@
 	s.finishTrip(c, rules.TripEnded{Result: result})
 }
 
-// drop ends a connection from this side; its site hears.
+// closeConn closes a connection from this side and notifies its site.
 func (s *sender) closeConn(cn *conn) {
 	if cn.closed {
 		return
 	}
 	s.removeConn(cn)
-	s.post(s.world.siteNode(int(s.world.destinationOf[cn.receiver])), s.transitTime(), event{kind: evConnClosed, conn: cn})
+	s.post(s.world.siteNode(int(s.world.destinationOf[cn.receiver])), s.transitTime(), event{kind: evConnClosed,
+		conn: cn})
 }
 
+// removeConn removes a connection from the sender's tables.
 func (s *sender) removeConn(cn *conn) {
 	cn.closed = true
 	last := s.conns[len(s.conns)-1]
@@ -575,6 +598,7 @@
 	s.removeIdle(cn)
 }
 
+// removeIdle removes a connection from the idle connections of its receiver.
 func (s *sender) removeIdle(cn *conn) {
 	idle := s.idleConns[cn.receiver]
 	if i := slices.Index(idle, cn); i >= 0 {
@@ -585,7 +609,7 @@
 	}
 }
 
-// wakeBy asks to look for what has timed out at a time, or before.
+// scheduleTimeoutCheck schedules a check for timeouts unless an earlier one is scheduled.
 func (s *sender) scheduleTimeoutCheck(at rules.Millis) {
 	if at < s.timeoutCheckAt {
 		s.timeoutCheckAt = at
@@ -593,7 +617,8 @@
 	}
 }
 
-// expire gives up what has taken too long and closes what has stood idle.
+// expireTimeouts aborts calls and connection attempts that have timed out and closes connections that were idle too
+// long.
 func (s *sender) expireTimeouts() {
 	now, next := s.now(), never
 	for len(s.inFlight) > 0 && s.inFlight[0].timeoutAt <= now {
@@ -624,25 +649,27 @@
 	}
 }
 
-// kill ends the process: what is left is what its ledger has.
+// kill ends the process at once; only what its ledger recorded remains.
 func (s *sender) kill() {
 	s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "killed", At: s.now()})
 	s.stop()
 }
 
+// stop ends the process: it closes all connections and drops the submissions that have not been answered.
 func (s *sender) stop() {
 	s.alive, s.paused, s.deferredEvents = false, false, nil
 	for _, l := range slices.Clone(s.conns) {
 		s.closeConn(l)
 	}
-	for _, h := range s.unanswered { // their clients never had an answer
+	for _, h := range s.unanswered { // the clients of these get no answer
 		delete(s.notices, h.id)
-		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission, value: statusNoAnswer, payload: rules.Millis(0)})
+		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission,
+			value: statusNoAnswer, payload: rules.Millis(0)})
 	}
 	s.unanswered, s.events = nil, nil
 }
 
-// exit leaves once nothing is out, and at the latest when the time is up.
+// checkExit exits once no call is in flight, and at the latest when the time for the shutdown is over.
 func (s *sender) checkExit(startCount uint64) {
 	if startCount != s.startCount {
 		return
@@ -660,7 +687,7 @@
 	}
 }
 
-// thaw goes on: what came meanwhile is heard now.
+// resume ends a pause and handles the events that arrived during it.
 func (s *sender) resume() {
 	if !s.paused {
 		return
@@ -674,7 +701,7 @@
 	}
 }
 
-// byDue is a heap of calls by the end of their time-outs.
+// callsByTimeout is a heap of calls in flight, ordered by the time at which they time out.
 type callsByTimeout []*call
 
 func (h callsByTimeout) Len() int { return len(h) }
--- a/internal/model/site.go
+++ b/internal/model/site.go
@@ -9,25 +9,25 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// conn is a connection from a sender to a receiver. Each side writes only its own part.
+// conn is a connection from a sender to a receiver. The sender and the site each write only their own fields.
 type conn struct {
 	sender   int32
 	receiver rules.ReceiverID
 
-	// The sender's.
-	established, closed bool // gone: closed by the sender, or known to have ended
+	// Written by the sender.
+	established, closed bool // closed: closed by the sender, or known to have ended
 	call                *call
 	lastUsed            rules.Millis
 	connectDeadline     rules.Millis
-	senderIndex         int // among its sender's
+	senderIndex         int // in the sender's conns
 
-	// The site's.
+	// Written by the site.
 	open          bool
 	serving       *call
-	receiverIndex int // among its receiver's
+	receiverIndex int // in the receiver's conns
 }
 
-// call is a trip on its way. Its sender writes the first part, the site the second.
+// call is a trip in flight. Its sender writes the first group of fields, the site the second.
 type call struct {
 	submission *submission
 	notice     rules.NoticeID
@@ -35,7 +35,7 @@
 	conn       *conn
 	startedAt  rules.Millis
 	timeoutAt  rules.Millis
-	heapIndex  int // among those out
+	heapIndex  int // in the sender's inFlight
 	written    bool
 	inFlight   bool
 
@@ -44,7 +44,7 @@
 	done   bool
 }
 
-// reply is what an answer tells its sender.
+// response is what a sender reads of a gateway's response.
 type response struct {
 	status                   int
 	retryAfter               rules.Millis
@@ -60,33 +60,34 @@
 	receivers     []*receiver
 	byID          map[rules.ReceiverID]*receiver
 	openConns     int
-	recordedCalls []*call // those noted, for the record
+	recordedCalls []*call // kept only if the run is recorded
 	overloads     []audit.Fall
 
 	counts struct{ calls, fullResponses, furtherCalls, secondEffects int }
 }
 
-// place is one receiver.
+// receiver is one receiver of a site.
 type receiver struct {
 	id           rules.ReceiverID
 	name         string
-	removed      bool // gone for good
+	removed      bool // removed for good
 	refusing     bool
 	unresponsive bool
 	conns        []*conn
 }
 
-// Events at a site.
+// Events handled by a site; the comment names the fields of the event that are used.
 const (
 	evConnect         eventKind = iota // conn
 	evCall                             // call
-	evResponseDue                      // call: its answer is due
-	evConnClosed                       // conn: the sender has ended it
+	evResponseDue                      // call: its response is due
+	evConnClosed                       // conn: closed by the sender
 	evFaultChange                      // a fault begins or ends
-	evReceiverAdded                    // n: a receiver opens
-	evReceiverRemoved                  // n: a receiver is gone for good
+	evReceiverAdded                    // value: this receiver is added
+	evReceiverRemoved                  // value: this receiver is removed for good
 )
 
+// newSite creates a site with the receivers that its destination has at the start.
 func newSite(w *world, p port, d *scenario.Destination) *site {
 	s := &site{port: p, world: w, gateway: gateway.NewSite(w.World, d), byID: map[rules.ReceiverID]*receiver{}}
 	for _, name := range d.Receivers {
@@ -97,12 +98,14 @@
 	return s
 }
 
+// addReceiver adds a receiver.
 func (s *site) addReceiver(id rules.ReceiverID) {
 	p := &receiver{id: id, name: s.world.receiverNames[id]}
 	s.receivers = append(s.receivers, p)
 	s.byID[id] = p
 }
 
+// handle processes one event.
 func (s *site) handle(e *event) {
 	switch e.kind {
 	case evConnect:
@@ -127,7 +130,7 @@
 	}
 }
 
-// nextFault asks to be told when the next fault begins or ends.
+// scheduleFaultChange schedules an event at the time when the next fault begins or ends.
 func (s *site) scheduleFaultChange(now rules.Millis) {
 	next := rules.Millis(-1)
 	for _, f := range s.gateway.Faults {
@@ -140,7 +143,7 @@
 	}
 }
 
-// faults puts into force what acts from now on.
+// applyFaults applies the faults that are active from now on to all receivers.
 func (s *site) applyFaults(now rules.Millis) {
 	refuses, blocked := false, false
 	for _, f := range s.gateway.Faults {
@@ -159,13 +162,14 @@
 	}
 }
 
+// resetConns resets all connections of a receiver.
 func (s *site) resetConns(p *receiver) {
 	for _, c := range slices.Clone(p.conns) {
 		s.resetConn(c)
 	}
 }
 
-// reset ends a connection from this side.
+// resetConn resets a connection.
 func (s *site) resetConn(c *conn) {
 	if !c.open {
 		return
@@ -174,7 +178,7 @@
 	s.postToSender(c.sender, event{kind: evConnReset, conn: c})
 }
 
-// drop forgets a connection; a call that it served is over.
+// dropConn removes a connection; a call in progress on it is done.
 func (s *site) dropConn(c *conn) {
 	p := s.byID[c.receiver]
 	last := p.conns[len(p.conns)-1]
@@ -190,14 +194,17 @@
 	}
 }
 
+// postToSender sends an event to a sender's node.
 func (s *site) postToSender(sender int32, e event) { s.post(sender, s.transitTime(), e) }
 
+// connect accepts or refuses a connection, or does not respond at all.
 func (s *site) connect(c *conn) {
 	p := s.byID[c.receiver]
 	switch {
 	case p != nil && p.unresponsive:
-		// No answer: the sender gives up by itself.
-	case p == nil || p.removed || p.refusing, s.gateway.Group.Shape.Connections > 0 && s.openConns >= s.gateway.Group.Shape.Connections:
+		// No response: the sender's connect timeout ends the attempt.
+	case p == nil || p.removed || p.refusing, s.gateway.Group.Shape.Connections > 0 &&
+		s.openConns >= s.gateway.Group.Shape.Connections:
 		s.postToSender(c.sender, event{kind: evConnectRefused, conn: c})
 	default:
 		c.open, c.receiverIndex = true, len(p.conns)
@@ -207,23 +214,25 @@
 	}
 }
 
+// connClosed handles a connection that the sender closed.
 func (s *site) connClosed(c *conn) {
 	if c.open {
 		s.dropConn(c)
 	}
 }
 
-// take reads a call.
+// receiveCall reads a call and decides when and how to respond.
 func (s *site) receiveCall(c *call) {
 	now := s.now()
 	if !c.conn.open {
 		return
 	}
 	h := c.submission
-	c.record = audit.Call{ID: h.id, Receiver: s.byID[c.receiver].name, Mark: h.effect.idempotencyKey, Dest: s.gateway.Number, Apart: s.world.apart[s.gateway.Number],
+	c.record = audit.Call{ID: h.id, Receiver: s.byID[c.receiver].name, Mark: h.effect.idempotencyKey,
+		Dest: s.gateway.Number, Apart: s.world.apart[s.gateway.Number],
 		First: now, Last: now}
 	if _, silent := s.gateway.Active(scenario.Silent, now); silent {
-		s.deferToFaultChange(c) // not read before it ends, and reset then
+		s.deferToFaultChange(c) // the call is not read before the fault ends; then the connection is reset
 		c.fate = gateway.Fate{Reset: true, Unseen: true}
 		c.conn.serving = c
 		return
@@ -236,7 +245,8 @@
 	}
 	c.fate = s.gateway.Decide(now, int(c.conn.sender)-firstSenderNode, h.effect.Grade)
 	if c.fate.Fell {
-		s.overloads = append(s.overloads, audit.Fall{Dest: s.gateway.Number, At: now, By: s.gateway.Core.Pushed(), Seen: s.gateway.SeenBy()})
+		s.overloads = append(s.overloads, audit.Fall{Dest: s.gateway.Number, At: now,
+			By: s.gateway.Core.Pushed(), Seen: s.gateway.SeenBy()})
 	}
 	c.record.Ran, c.record.Fault, c.record.Unread = c.fate.Ran, c.fate.Fault, c.fate.Unseen
 	c.conn.serving = c
@@ -246,7 +256,7 @@
 	}
 }
 
-// note counts a call and, where all is recorded, keeps it.
+// recordCall counts a call and, if the run is recorded, keeps it.
 func (s *site) recordCall(c *call) {
 	s.counts.calls++
 	if h := c.submission; !c.record.Unread {
@@ -265,7 +275,7 @@
 	}
 }
 
-// untilChange comes back to a call when the faults next change.
+// deferToFaultChange handles a call again when a fault next begins or ends.
 func (s *site) deferToFaultChange(c *call) {
 	next := rules.Millis(-1)
 	for _, f := range s.gateway.Faults {
@@ -278,10 +288,10 @@
 	}
 }
 
-// dribbled is how long it takes an answer's first line to come at a byte a second.
+// dribbleTime is how long, in milliseconds, the first line of a response takes at one byte per second.
 const dribbleTime = 16_000
 
-// answer writes an answer that is due.
+// respond writes a response that is due, as far as the active faults allow.
 func (s *site) respond(c *call) {
 	if c.done || !c.conn.open {
 		return
@@ -320,6 +330,7 @@
 			e.deliveredAt = now
 		}
 	}
-	s.postToSender(c.conn.sender, event{kind: evResponse, call: c, payload: response{status: f.Status, retryAfter: f.Wait, malformed: f.Spoilt, limitReported: f.Told,
+	s.postToSender(c.conn.sender, event{kind: evResponse, call: c, payload: response{status: f.Status,
+		retryAfter: f.Wait, malformed: f.Spoilt, limitReported: f.Told,
 		limitLeft: f.Left, limitRate: f.LimitIs}})
 }
