--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -21,7 +21,7 @@
 	Immediate = "immediate" // retries without delay
 	Backoff   = "backoff"   // retries with exponential backoff and full jitter
 	Budget    = "budget"    // Backoff, with retries limited to a tenth of the first calls
-	Bucket    = "bucket"    // Backoff, and per destination a token bucket at this sender's share of the destination's rate limit
+	Bucket    = "bucket"    // Backoff, and per destination a token bucket at this sender's share of its rate limit
 	Gradient  = "gradient"  // Backoff, and per destination a limit on calls in flight that adapts to latency
 	Breaker   = "breaker"   // Backoff, and per destination a circuit breaker with the rules of sony/gobreaker
 	Least     = "least"     // Backoff, to the receiver with the fewest calls in flight
@@ -39,11 +39,11 @@
 	case name == "" || name == "ours":
 		return Daemon, nil
 	case !slices.Contains(Policies(), name):
-		return nil, fmt.Errorf("no policy %q: one of %s", name, strings.Join(Policies(), ", "))
+		return nil, fmt.Errorf("no policy %q; want one of %s", name, strings.Join(Policies(), ", "))
 	}
 	w := scenario.Lay(s)
-	return func(seed uint64, settings rules.Settings, began rules.Millis) Decider {
-		return &baseline{policy: name, settings: settings, startedAt: began, world: w,
+	return func(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider {
+		return &baseline{policy: name, settings: settings, startedAt: startedAt, world: w,
 			rng:     rand.New(rand.NewPCG(seed, 1)),
 			notices: map[rules.NoticeID]*baselineNotice{}, dests: map[rules.DestinationID]*baselineDestination{},
 			receivers: map[rules.ReceiverID]*baselineReceiver{}}
@@ -53,11 +53,11 @@
 // baselineNotice is a notice as a baseline keeps it.
 type baselineNotice struct {
 	rules.NoticeTaken
-	until, readyAt rules.Millis
-	trips          int
-	mayHaveRun     bool
-	sentTo         *baselineReceiver
-	heapIndex      int
+	deadline, readyAt rules.Millis
+	trips             int
+	mayHaveRun        bool
+	sentTo            *baselineReceiver
+	heapIndex         int
 }
 
 // baselineReceiver is a receiver as a baseline keeps it.
@@ -104,6 +104,7 @@
 	timerAt     rules.Millis
 }
 
+// emit adds an action to those that Decide returns.
 func (p *baseline) emit(a rules.Action) { p.actions = append(p.actions, a) }
 
 // Decide receives the events since the last call and returns the actions to execute.
@@ -114,7 +115,7 @@
 		case rules.ListTold:
 			p.updateList(e)
 		case rules.NoticeTaken:
-			n := &baselineNotice{NoticeTaken: e, until: now + e.Left, readyAt: now, trips: e.Trips,
+			n := &baselineNotice{NoticeTaken: e, deadline: now + e.Left, readyAt: now, trips: e.Trips,
 				mayHaveRun: e.Ran > 0}
 			p.notices[e.Notice] = n
 			p.retryTokens = min(p.retryTokens+0.1, 100)
@@ -137,6 +138,7 @@
 	return p.actions
 }
 
+// updateList applies a report of the receiver list.
 func (p *baseline) updateList(e rules.ListTold) {
 	if e.Whole {
 		for _, rc := range p.receivers {
@@ -159,6 +161,7 @@
 	}
 }
 
+// tripEnded records the result of a trip, and ends its notice or schedules a retry.
 func (p *baseline) tripEnded(e rules.TripEnded) {
 	n := p.notices[e.Notice]
 	if n == nil || n.sentTo == nil {
@@ -178,9 +181,9 @@
 		delete(p.notices, e.Notice)
 		return
 	}
-	unrun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot ||
+	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot ||
 		e.Result == rules.Short
-	n.mayHaveRun = n.mayHaveRun || !unrun
+	n.mayHaveRun = n.mayHaveRun || !notRun
 	grade := p.settings.Grades[n.Grade]
 	limit := p.settings.TripLimit
 	if p.policy == OneTry {
@@ -236,6 +239,7 @@
 	}
 }
 
+// endNotice breaks a notice off if it may have taken effect, and dismisses it otherwise.
 func (p *baseline) endNotice(n *baselineNotice) {
 	if n.mayHaveRun {
 		p.emit(rules.BreakOff{Notice: n.Notice})
@@ -246,8 +250,8 @@
 }
 
 // allows reports whether a call to a destination may be sent now, and otherwise when to check again.
-func (p *baseline) allows(d *baselineDestination) (ok bool, again rules.Millis) {
-	again = p.now + 10
+func (p *baseline) allows(d *baselineDestination) (ok bool, retryAt rules.Millis) {
+	retryAt = p.now + 10
 	switch p.policy {
 	case Bucket:
 		if d.reportedRate <= 0 {
@@ -260,7 +264,7 @@
 		}
 		d.tokens--
 	case Gradient:
-		return float64(d.inFlight) < d.inFlightLimit, again
+		return float64(d.inFlight) < d.inFlightLimit, retryAt
 	case Breaker:
 		if d.state == "open" && p.now >= d.openedAt+5000 {
 			d.state = "half-open"
@@ -270,7 +274,7 @@
 		}
 		if d.state == "half-open" {
 			if d.trialSent {
-				return false, again
+				return false, retryAt
 			}
 			d.trialSent = true
 		}
@@ -284,16 +288,16 @@
 // and otherwise when to check again.
 func (p *baseline) oracleAllows(d *baselineDestination) (bool, rules.Millis) {
 	at := p.startedAt + p.now
-	truth := p.world.Destinations[d.number-1]
-	for _, f := range truth.Faults {
-		bad := gateway.Outage(f) || f.Kind == scenario.Spoilt || f.Kind == scenario.Errors ||
+	destination := p.world.Destinations[d.number-1]
+	for _, f := range destination.Faults {
+		failsCalls := gateway.Outage(f) || f.Kind == scenario.Spoilt || f.Kind == scenario.Errors ||
 			f.Kind == scenario.ResetAfter ||
 			f.Kind == scenario.Flap || f.Kind == scenario.Dribble
-		if bad && f.Active(at) {
+		if failsCalls && f.Active(at) {
 			return false, p.now + max(f.Next(at)-at, 1)
 		}
 	}
-	if limit := truth.Group.Shape.Limit; limit > 0 {
+	if limit := destination.Group.Shape.Limit; limit > 0 {
 		rate := limit / float64(max(p.settings.Senders, 1)) / 1000
 		d.tokens = min(d.tokens+float64(p.now-d.filledAt)*rate, max(100*rate, 1))
 		if d.filledAt = p.now; d.tokens < 1 {
@@ -304,10 +308,11 @@
 	return true, 0
 }
 
+// sendWaiting sends the waiting notices that are due while there are free slots.
 func (p *baseline) sendWaiting() {
 	for len(p.waiting) > 0 && p.waiting[0].readyAt <= p.now && p.usedSlots < p.settings.Slots {
 		n := heap.Pop(&p.waiting).(*baselineNotice)
-		if p.now >= n.until-3*p.settings.Tick {
+		if p.now >= n.deadline-3*p.settings.Tick {
 			p.endNotice(n)
 			continue
 		}
@@ -323,7 +328,7 @@
 		}
 		ok, again := p.allows(d)
 		if !ok {
-			n.readyAt = min(max(again, p.now+1), n.until-3*p.settings.Tick)
+			n.readyAt = min(max(again, p.now+1), n.deadline-3*p.settings.Tick)
 			heap.Push(&p.waiting, n)
 			continue
 		}
@@ -331,8 +336,8 @@
 		p.usedSlots++
 		to.inFlight++
 		d.inFlight++
-		p.emit(rules.Send{Notice: n.Notice, Receiver: to.id, TimeOut: min(p.settings.Grades[n.Grade].QuotedTime,
-			n.until-p.now)})
+		p.emit(rules.Send{Notice: n.Notice, Receiver: to.id,
+			TimeOut: min(p.settings.Grades[n.Grade].QuotedTime, n.deadline-p.now)})
 	}
 }
 
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -109,6 +109,7 @@
 	w.heap = h
 }
 
+// pop removes and returns the first event.
 func (w *worker) pop() event {
 	h := w.heap
 	top, last := h[0], h[len(h)-1]
@@ -165,13 +166,13 @@
 
 // newEngine creates an engine with this number of nodes and workers; workerOf returns the index of the worker that
 // runs a node.
-func newEngine(least rules.Millis, nodes, workers int, home func(id int) int) *engine {
+func newEngine(least rules.Millis, nodes, workers int, workerIndex func(id int) int) *engine {
 	e := &engine{minDelay: least, nodes: make([]node, nodes), workerOf: make([]*worker, nodes)}
 	for i := range workers {
 		e.workers = append(e.workers, &worker{index: i, engine: e, outbox: make([][]event, workers)})
 	}
 	for id := range nodes {
-		e.workerOf[id] = e.workers[home(id)]
+		e.workerOf[id] = e.workers[workerIndex(id)]
 	}
 	return e
 }
@@ -236,12 +237,12 @@
 		}
 		lastWindowEvents = e.events() - before
 		for _, from := range e.workers {
-			for place, events := range from.outbox {
+			for index, events := range from.outbox {
 				for _, x := range events {
-					e.workers[place].push(x)
+					e.workers[index].push(x)
 				}
 				clear(events)
-				from.outbox[place] = events[:0]
+				from.outbox[index] = events[:0]
 			}
 		}
 	}
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -37,7 +37,7 @@
 
 // Policy creates the Decider of one start of a sender. startedAt is the time of the run at which the Decider's time
 // 0 is.
-type Policy func(seed uint64, settings rules.Settings, began rules.Millis) Decider
+type Policy func(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider
 
 // Daemon is the policy of the daemon.
 func Daemon(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
@@ -148,16 +148,16 @@
 // listEntry returns the entry of a receiver in the receiver list.
 func (w *world) listEntry(name, standing string) rules.Entry {
 	id := w.receiverIDs[name]
-	d := int(w.destinationOf[id])
-	e := rules.Entry{Receiver: id, Destination: rules.DestinationID(d), Kind: w.kinds[d],
-		ListedRate: w.Destinations[d-1].Group.Shape.Limit}
+	destination := int(w.destinationOf[id])
+	entry := rules.Entry{Receiver: id, Destination: rules.DestinationID(destination), Kind: w.kinds[destination],
+		ListedRate: w.Destinations[destination-1].Group.Shape.Limit}
 	switch standing {
 	case "ready":
-		e.Standing = rules.Ready
+		entry.Standing = rules.Ready
 	case "draining":
-		e.Standing = rules.Draining
+		entry.Standing = rules.Draining
 	}
-	return e
+	return entry
 }
 
 // newDecider creates a sender's Decider by the policy of the run.
@@ -174,7 +174,9 @@
 }
 
 // toMillis converts a duration to milliseconds.
-func toMillis(d time.Duration) rules.Millis { return rules.Millis(d) / rules.Millis(time.Millisecond) }
+func toMillis(duration time.Duration) rules.Millis {
+	return rules.Millis(duration) / rules.Millis(time.Millisecond)
+}
 
 // Run runs a scenario. If the context ends first, the run is cancelled: the result covers the time until then and
 // is marked Broken.
@@ -231,11 +233,11 @@
 	}
 	// Events posted while the nodes were created are still in the workers' outboxes.
 	for _, from := range eng.workers {
-		for place, events := range from.outbox {
+		for index, events := range from.outbox {
 			for _, x := range events {
-				eng.workers[place].push(x)
+				eng.workers[index].push(x)
 			}
-			from.outbox[place] = nil
+			from.outbox[index] = nil
 		}
 	}
 	until := run.Length + run.Settle
@@ -285,8 +287,8 @@
 			Again: h.resubmission, Status: h.status, Answered: h.answeredAt})
 	}
 	for _, s := range sites {
-		for _, one := range s.recordedCalls {
-			v.Calls = append(v.Calls, one.record)
+		for _, recorded := range s.recordedCalls {
+			v.Calls = append(v.Calls, recorded.record)
 		}
 		v.Falls = append(v.Falls, s.overloads...)
 	}
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -14,6 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// load reads a scenario and sets its seed; with mix set, traffic and faults are drawn from the seed.
 func load(t *testing.T, name string, seed uint64, mix bool) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(name)
@@ -26,7 +27,8 @@
 	return s
 }
 
-// seeds is how many to play: a fifth with the race detector, which makes each eight times as slow, or CHUTEWEIR_SEEDS.
+// seeds returns the number of seeds to run: CHUTEWEIR_SEEDS if it is set, otherwise the usual number, or a fifth of it
+// with the race detector, which makes each run eight times as slow.
 func seeds(t *testing.T, usual int) int {
 	if text := os.Getenv("CHUTEWEIR_SEEDS"); text != "" {
 		n, err := strconv.Atoi(text)
@@ -41,10 +43,10 @@
 	return usual
 }
 
-// All that comes of a run is the same to the bit, whatever the number of workers.
+// A run gives the same result and audit data, to the bit, with any number of workers.
 func TestSameWhateverTheWorkers(t *testing.T) {
 	for seed := range uint64(seeds(t, 5)) {
-		tell := func(workers int) string {
+		runJSON := func(workers int) string {
 			s := load(t, "brief", seed+1, true)
 			r := Run(context.Background(), s, Options{Workers: workers, Record: true})
 			view, err := json.Marshal(r.View)
@@ -57,17 +59,17 @@
 			}
 			return string(text) + string(view)
 		}
-		one := tell(1)
+		oneWorker := runJSON(1)
 		for _, workers := range []int{2, 3} {
-			if other := tell(workers); other != one {
-				t.Errorf("seed %d: %d workers tell something else: %s", seed+1, workers, cmp.Diff(one[:min(2000,
-					len(one))], other[:min(2000, len(other))]))
+			if other := runJSON(workers); other != oneWorker {
+				t.Errorf("seed %d: result with %d workers differs from that with one: %s", seed+1, workers,
+					cmp.Diff(oneWorker[:min(2000, len(oneWorker))], other[:min(2000, len(other))]))
 			}
 		}
 	}
 }
 
-// A window's events come in the order of their times, of those that they concern and of their senders.
+// The heap returns events ordered by time, receiving node, sending node and sequence number.
 func TestHeap(t *testing.T) {
 	w, draw := &worker{}, rand.New(rand.NewPCG(1, 1))
 	for i := range 5000 {
@@ -81,13 +83,14 @@
 	for len(w.heap) > 0 {
 		next := w.pop()
 		if !last.before(&next) {
-			t.Fatalf("%v before %v", last, next)
+			t.Fatalf("popped %v before %v; want the other order", last, next)
 		}
 		last = next
 	}
 }
 
-// Whatever troubles are drawn, our decisions keep the six rules; at the end nothing is left over.
+// The daemon's policy breaks none of the six rules of the audit under faults drawn at random, and leaves no notice
+// without a final outcome.
 func TestRulesKept(t *testing.T) {
 	asked := 0
 	for seed := range uint64(seeds(t, 80)) {
@@ -98,13 +101,13 @@
 		asked += r.All.Asked
 	}
 	if asked < 500*seeds(t, 80) {
-		t.Errorf("%d notices tell nothing", asked)
+		t.Errorf("%d notices in all runs; want at least 500 per seed", asked)
 	}
 }
 
-// A sender that takes every grade for reissuable, and one that heeds no waits, are found by the auditor in the model too.
+// The audit finds two faulty senders: one that treats every grade as reissuable, and one that ignores requested waits.
 func TestWrongSendersAreFound(t *testing.T) {
-	wrong := func(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
+	repeating := func(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
 		settings.Grades = append([]rules.Grade(nil), settings.Grades...)
 		for i := range settings.Grades {
 			settings.Grades[i].Repeat = rules.Reissuable
@@ -113,13 +116,13 @@
 	}
 	found := map[audit.Rule]int{}
 	for seed := range uint64(seeds(t, 20)) {
-		for _, b := range Run(context.Background(), load(t, "brief", seed+1, true), Options{Workers: 1,
-			Record: true, Policy: wrong}).Breaches {
+		for _, b := range Run(context.Background(), load(t, "brief", seed+1, true),
+			Options{Workers: 1, Record: true, Policy: repeating}).Breaches {
 			found[b.Rule]++
 		}
 	}
 	if found[audit.Twice] == 0 {
-		t.Errorf("repeats of what must not run twice: %v", found)
+		t.Errorf("no breach found of the rule that at-most-once notices take effect once; breaches by rule: %v", found)
 	}
 	found = map[audit.Rule]int{}
 	for seed := range uint64(10) {
@@ -134,11 +137,11 @@
 		}
 	}
 	if found[audit.Waits] == 0 {
-		t.Errorf("calls into told waits: %v", found)
+		t.Errorf("no breach found of requested waits; breaches by rule: %v", found)
 	}
 }
 
-// Who knows every trouble does best; who calls again at once makes the most calls.
+// The oracle, which knows all faults, earns the most credit; retrying without delay makes the most further calls.
 func TestBaselines(t *testing.T) {
 	credit, further := map[string]float64{}, map[string]int{}
 	for _, name := range Policies() {
@@ -155,25 +158,26 @@
 	}
 	for _, name := range Policies() {
 		if credit[name] > credit[Oracle]+0.001 {
-			t.Errorf("%s earns %.4f, the oracle %.4f", name, credit[name], credit[Oracle])
+			t.Errorf("credit of policy %s is %.4f, above the oracle's %.4f", name, credit[name], credit[Oracle])
 		}
 		if name != Immediate && further[name] > further[Immediate] {
-			t.Errorf("%s makes %d further calls, at once %d", name, further[name], further[Immediate])
+			t.Errorf("policy %s made %d further calls, more than the %d of retries without delay",
+				name, further[name], further[Immediate])
 		}
 	}
 	if credit["ours"] <= credit[OneTry] || further[Budget] >= further[Backoff] || further[OneTry] != 0 {
-		t.Errorf("credit %v, further calls %v", credit, further)
+		t.Errorf("credit by policy %v, further calls by policy %v", credit, further)
 	}
 	if _, err := PolicyOf("nothing", load(t, "calm", 1, false)); err == nil {
-		t.Error("a policy that does not exist is taken")
+		t.Error("PolicyOf accepted the unknown policy \"nothing\"; want an error")
 	}
 }
 
-// A run that is broken off says so and tells what was so far.
+// A run whose context is cancelled returns a result that is marked Broken.
 func TestBrokenOff(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if r := Run(ctx, load(t, "calm", 1, false), Options{Workers: 1}); !r.Broken {
-		t.Error("it ran to its end")
+		t.Error("result of a cancelled run is not marked Broken")
 	}
 }
--- a/internal/model/norace_test.go
+++ b/internal/model/norace_test.go
@@ -2,4 +2,5 @@
 
 package model
 
+// raced says whether the race detector is on.
 const raced = false
--- a/internal/model/outside.go
+++ b/internal/model/outside.go
@@ -17,7 +17,7 @@
 	evArrival            eventKind = iota + 60 // own event: the next effect is due
 	evResubmit                                 // own event, submission: a client submits again
 	evSubmissionAnswered                       // submission, value: the status, payload: the Retry-After wait
-	evClientTimeout                            // own event, submission: its client stops waiting for an answer
+	evAnswerTimeout                            // own event, submission: its client stops waiting for an answer
 	evOutcome                                  // submission, value, payload: a final outcome
 	evWatchList                                // a sender subscribes to changes of the receiver list
 	evScriptStep                               // own event, value: index of the script step to run
@@ -37,7 +37,7 @@
 
 	// Written by the site.
 	deliveredAt rules.Millis // first delivery; negative: not delivered
-	runs        int
+	runs        int          // how often an at-most-once effect has taken effect
 }
 
 // submission is one submission of an effect to a sender.
@@ -65,12 +65,12 @@
 	world        *world
 	arrivals     *scenario.Arrivals
 	nextArrival  scenario.Arrival
-	hasNext      bool
+	hasNext      bool // nextArrival is set
 	rng          *rand.Rand
 	effectCount  int
-	dealCount    int
+	dealCount    int    // round-robin counter of chooseSender
 	senderStates []int8 // by sender: 0 up, 1 down but clients have not noticed, 2 known to be down
-	watching     []bool
+	watching     []bool // by sender: subscribed to changes of the receiver list
 	script       []scriptStep
 	currentList  []audit.Told // the receiver list now in force, in the order of the changes
 
@@ -135,7 +135,7 @@
 		c.submit(e.submission.effect, true)
 	case evSubmissionAnswered:
 		c.handleAnswer(e.submission, int(e.value), e.payload.(rules.Millis))
-	case evClientTimeout:
+	case evAnswerTimeout:
 		if !e.submission.settled {
 			c.handleAnswer(e.submission, statusNoAnswer, 0)
 		}
@@ -170,11 +170,11 @@
 // submit submits an effect to a sender, unless its client timeout is over.
 func (c *client) submit(eff *effect, resubmission bool) {
 	now := c.now()
-	until := eff.At + c.world.Settings.Grades[eff.Grade].ClientTimeout
-	if until-now < 1 {
+	deadline := eff.At + c.world.Settings.Grades[eff.Grade].ClientTimeout
+	if deadline-now < 1 {
 		return
 	}
-	h := &submission{effect: eff, submittedAt: now, deadline: until, resubmission: resubmission,
+	h := &submission{effect: eff, submittedAt: now, deadline: deadline, resubmission: resubmission,
 		sender: c.chooseSender()}
 	c.counts.submitted++
 	if c.world.record {
@@ -182,7 +182,7 @@
 		c.submissions = append(c.submissions, h)
 	}
 	c.post(int32(h.sender+firstSenderNode), c.transitTime(), event{kind: evSubmission, submission: h})
-	c.schedule(c.world.Traffic.Patience, event{kind: evClientTimeout, submission: h})
+	c.schedule(c.world.Traffic.Patience, event{kind: evAnswerTimeout, submission: h})
 }
 
 // handleAnswer handles a sender's answer, or the lack of one.
@@ -210,34 +210,34 @@
 }
 
 // resubmitLater submits an effect again after a delay, if its client wants that and the client timeout allows it.
-func (c *client) resubmitLater(sub *submission, after rules.Millis) {
-	wants := c.rng.Float64() < c.world.Traffic.Again
-	if wants && c.now()+after < sub.deadline {
-		c.schedule(after, event{kind: evResubmit, submission: sub})
+func (c *client) resubmitLater(sub *submission, delay rules.Millis) {
+	resubmits := c.rng.Float64() < c.world.Traffic.Again
+	if resubmits && c.now()+delay < sub.deadline {
+		c.schedule(delay, event{kind: evResubmit, submission: sub})
 	}
 }
 
 // handleOutcome accepts a sender's final outcome, or refuses it while the platform's fault is active.
 func (c *client) handleOutcome(e *event) {
-	back := event{kind: evOutcomeAccepted, value: e.value}
+	confirmation := event{kind: evOutcomeAccepted, value: e.value}
 	sender := int(e.from) - firstSenderNode
 	if _, on := c.activeFault(scenario.EndsRefused); on {
 		c.refusals = append(c.refusals, audit.Shut{Sender: sender, At: c.now()})
-		back.kind = evOutcomeRefused
+		confirmation.kind = evOutcomeRefused
 	} else {
-		end := e.payload.(outcomeReport)
+		report := e.payload.(outcomeReport)
 		if c.world.record {
-			c.outcomes = append(c.outcomes, audit.End{ID: e.submission.id, Outcome: end.outcome, Sender: sender,
+			c.outcomes = append(c.outcomes, audit.End{ID: e.submission.id, Outcome: report.outcome, Sender: sender,
 				At: c.now()})
 		}
-		if end.outcome == "handed_back" {
+		if report.outcome == "handed_back" {
 			c.counts.dismissed++
-			c.resubmitLater(e.submission, max(end.retryAfter, 20))
+			c.resubmitLater(e.submission, max(report.retryAfter, 20))
 		} else {
 			c.counts.brokenOff++
 		}
 	}
-	c.post(e.from, c.transitTime(), back)
+	c.post(e.from, c.transitTime(), confirmation)
 }
 
 // activeFault returns the active fault of a kind, if there is one.
@@ -307,19 +307,19 @@
 		}
 		site := c.world.siteNode(d.Number)
 		for n, f := range d.Faults {
-			old := d.Receivers
-			replacements := make([]string, len(old))
-			for i, name := range old {
+			current := d.Receivers
+			replacements := make([]string, len(current))
+			for i, name := range current {
 				replacements[i] = fmt.Sprintf("%s+%d", name, n+1)
 				c.world.addReceiver(replacements[i], d.Number)
 			}
 			listChange := func(names []string, standing string) func() {
 				return func() {
-					var members []audit.Told
+					var changes []audit.Told
 					for _, name := range names {
-						members = append(members, audit.Told{Receiver: name, Standing: standing})
+						changes = append(changes, audit.Told{Receiver: name, Standing: standing})
 					}
-					c.applyListChange(members)
+					c.applyListChange(changes)
 				}
 			}
 			eachReceiver := func(names []string, k eventKind) func() {
@@ -333,12 +333,12 @@
 			switch f.Kind {
 			case scenario.Drain:
 				add(f.At, eachReceiver(replacements, evReceiverAdded))
-				add(f.At+listDelay, func() { listChange(old, "draining")(); listChange(replacements, "ready")() })
-				add(f.Until(), listChange(old, "gone"))
-				add(f.Until()+listDelay+1500, eachReceiver(old, evReceiverRemoved))
+				add(f.At+listDelay, func() { listChange(current, "draining")(); listChange(replacements, "ready")() })
+				add(f.Until(), listChange(current, "gone"))
+				add(f.Until()+listDelay+1500, eachReceiver(current, evReceiverRemoved))
 			case scenario.Vanish:
-				add(f.At, eachReceiver(old, evReceiverRemoved))
-				add(f.At+listDelay, listChange(old, "gone"))
+				add(f.At, eachReceiver(current, evReceiverRemoved))
+				add(f.At+listDelay, listChange(current, "gone"))
 				add(f.Until(), eachReceiver(replacements, evReceiverAdded))
 				add(f.Until()+listDelay, listChange(replacements, "ready"))
 			}
@@ -347,7 +347,7 @@
 	for i, f := range c.world.Faults {
 		for _, n := range c.world.Struck[i] {
 			to := int32(n + firstSenderNode)
-			notify := func(k eventKind, more int64) { c.post(to, 0, event{kind: k, value: more}) }
+			notify := func(k eventKind, value int64) { c.post(to, 0, event{kind: k, value: value}) }
 			restart := func() { // with the receiver list as it is at the restart
 				c.post(to, 0, event{kind: evRestart, payload: c.newListReport(true, c.currentList).list})
 				c.senderStates[n] = 0
@@ -377,30 +377,30 @@
 
 // settleEffects counts the credit of the effects whose time is over; with all set, of the others too.
 func (c *client) settleEffects(all bool) {
-	kept := c.openEffects[:0]
+	remaining := c.openEffects[:0]
 	for _, eff := range c.openEffects {
 		g := c.world.Settings.Grades[eff.Grade]
 		if !all && c.now() < eff.At+g.ClientTimeout+1000 {
-			kept = append(kept, eff)
+			remaining = append(remaining, eff)
 			continue
 		}
 		earned := 0.0
 		if eff.deliveredAt >= 0 {
 			earned = c.world.Worth(eff.Grade, eff.deliveredAt-eff.At)
 		}
-		part := c.healthy
+		tally := c.healthy
 		if c.world.isFailing(eff.Destination) {
-			part = c.failing
+			tally = c.failing
 		}
-		for _, t := range []*results.Tally{c.all, c.grades[eff.Grade], part} {
+		for _, t := range []*results.Tally{c.all, c.grades[eff.Grade], tally} {
 			t.Add(g.Credit, earned, eff.deliveredAt >= 0, eff.deliveredAt-eff.At)
 		}
 		b := &c.bins[min(int(eff.At/binSpan), len(c.bins)-1)]
 		b.Asked += g.Credit
 		b.Earned += earned
 	}
-	clear(c.openEffects[len(kept):])
-	c.openEffects = kept
+	clear(c.openEffects[len(remaining):])
+	c.openEffects = remaining
 }
 
 // effectName returns an effect's identifier in the audit.
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -44,8 +44,8 @@
 	trips           int            // started so far
 	mayHaveRunAt    []rules.Millis // times at which the trips that may have taken effect were sent
 	tripRecorded    bool           // the trip in flight has an entry in mayHaveRunAt
-	done            bool
-	outcome         string // final outcome to report; empty: none yet
+	done            bool           // handled, or its final outcome is set
+	outcome         string         // final outcome to report; empty: none yet
 	retryAfter      rules.Millis
 	reportBackoff   rules.Millis // delay before the final outcome is reported again
 	outcomeAccepted bool         // the platform accepted the final outcome
@@ -67,22 +67,22 @@
 	startCount uint64 // how often the process has started; events of an earlier start are ignored
 	startedAt  rules.Millis
 
-	alive, paused, shuttingDown, sending bool
+	alive, paused, shuttingDown, sending bool           // sending: new calls may be sent
 	restartAfterExit                     bool           // start again after the exit
 	initialList                          rules.ListTold // the receiver list at the next start
 	deferredEvents                       []event        // events that arrived while the process was paused
-	events                               []rules.Event
-	unanswered                           []*heldNotice
+	events                               []rules.Event  // for the next turn
+	unanswered                           []*heldNotice  // accepted since the last turn, not yet answered
 	notices                              map[rules.NoticeID]*heldNotice
 	lastID                               rules.NoticeID
-	turnDue                              bool
+	turnDue                              bool // a turn is scheduled
 	lastTurnAt                           rules.Millis
 	conns                                []*conn
 	idleConns                            map[rules.ReceiverID][]*conn
 	inFlight                             callsByTimeout
-	timeoutCheckAt                       rules.Millis
-	connLimit                            int // maximum number of connections that the descriptors allow
-	usedCapacity                         float64
+	timeoutCheckAt                       rules.Millis // time of the next scheduled timeout check
+	connLimit                            int          // maximum number of connections that the descriptors allow
+	usedCapacity                         float64      // sum of capacityOf over the notices; at most 1
 
 	listRecords    []audit.Told
 	lifeRecords    []audit.Life
@@ -121,13 +121,13 @@
 	s.events, s.unanswered = nil, nil
 	s.conns, s.idleConns, s.inFlight, s.timeoutCheckAt, s.usedCapacity = nil, map[rules.ReceiverID][]*conn{},
 		nil, never, 0
-	numbers := make([]rules.NoticeID, 0, len(s.notices))
+	ids := make([]rules.NoticeID, 0, len(s.notices))
 	for n := range s.notices {
-		numbers = append(numbers, n)
+		ids = append(ids, n)
 	}
-	slices.Sort(numbers)
+	slices.Sort(ids)
 	s.events = append(s.events, s.initialList)
-	for _, n := range numbers {
+	for _, n := range ids {
 		h := s.notices[n]
 		if h.call = nil; h.outcome != "" {
 			if h.reportBackoff = 0; h.outcomeAccepted {
@@ -270,9 +270,9 @@
 
 // accept accepts or rejects a submission.
 func (s *sender) accept(sub *submission) {
-	answer := func(status int, after rules.Millis) {
+	answer := func(status int, retryAfter rules.Millis) {
 		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: sub,
-			value: int64(status), payload: after})
+			value: int64(status), payload: retryAfter})
 	}
 	full := s.world.Settings.HoldLimit > 0 && len(s.notices) >= s.world.Settings.HoldLimit
 	switch {
@@ -283,17 +283,17 @@
 		answer(503, 0)
 	default:
 		s.lastID++
-		n := &heldNotice{submission: sub, id: s.lastID, deadline: s.now() + sub.deadline - sub.submittedAt,
+		notice := &heldNotice{submission: sub, id: s.lastID, deadline: s.now() + sub.deadline - sub.submittedAt,
 			waited: s.now() - sub.submittedAt}
-		if room := s.capacityOf(n); full || s.usedCapacity+room > 1 {
+		if share := s.capacityOf(notice); full || s.usedCapacity+share > 1 {
 			s.counts.refused++
 			answer(503, 0)
 			return
 		}
-		s.usedCapacity += s.capacityOf(n)
-		s.notices[n.id] = n
-		s.unanswered = append(s.unanswered, n)
-		s.queueEvent(s.acceptedEvent(n))
+		s.usedCapacity += s.capacityOf(notice)
+		s.notices[notice.id] = notice
+		s.unanswered = append(s.unanswered, notice)
+		s.queueEvent(s.acceptedEvent(notice))
 	}
 }
 
@@ -301,21 +301,21 @@
 func (s *sender) runTurn() {
 	s.turnDue, s.lastTurnAt = false, s.now()
 	s.counts.turns++
-	events, fresh := s.events, s.unanswered
+	events, unanswered := s.events, s.unanswered
 	s.events, s.unanswered = nil, nil
 	if len(events) == 0 || !s.sending {
 		return
 	}
 	actions := s.decider.Decide(s.now()-s.startedAt, events)
 	var ended map[rules.NoticeID]rules.Action
-	if len(fresh) > 0 {
+	if len(unanswered) > 0 {
 		ended = rules.Ends(actions)
 	}
-	for _, h := range fresh {
-		status, after := 202, rules.Millis(0)
+	for _, h := range unanswered {
+		status, retryAfter := 202, rules.Millis(0)
 		switch a := ended[h.id].(type) {
 		case rules.Dismiss:
-			status, after = 429, a.RetryAfter
+			status, retryAfter = 429, a.RetryAfter
 		case rules.BreakOff:
 			status = 500
 		}
@@ -324,7 +324,7 @@
 			s.removeNotice(h)
 		}
 		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission,
-			value: int64(status), payload: after})
+			value: int64(status), payload: retryAfter})
 	}
 	for _, a := range actions {
 		s.execute(a)
@@ -382,14 +382,14 @@
 	heap.Push(&s.inFlight, c)
 	s.scheduleTimeoutCheck(c.timeoutAt)
 	for idle := s.idleConns[a.Receiver]; len(idle) > 0; idle = s.idleConns[a.Receiver] {
-		l := idle[len(idle)-1]
-		if s.now()-l.lastUsed > toMillis(s.limits.ReceiverIdle) {
-			s.closeConn(l)
+		cn := idle[len(idle)-1]
+		if s.now()-cn.lastUsed > toMillis(s.limits.ReceiverIdle) {
+			s.closeConn(cn)
 			continue
 		}
-		s.removeIdle(l)
-		l.call, c.conn = c, l
-		s.writeCall(l)
+		s.removeIdle(cn)
+		cn.call, c.conn = c, cn
+		s.writeCall(cn)
 		return
 	}
 	if len(s.conns) >= s.connLimit && !s.closeOldest() {
@@ -398,12 +398,12 @@
 		s.finishTrip(c, rules.TripEnded{Result: rules.Short})
 		return
 	}
-	l := &conn{sender: s.id, receiver: a.Receiver, call: c, lastUsed: s.now(),
+	cn := &conn{sender: s.id, receiver: a.Receiver, call: c, lastUsed: s.now(),
 		connectDeadline: s.now() + connectTime, senderIndex: len(s.conns)}
-	s.conns = append(s.conns, l)
-	c.conn = l
-	s.scheduleTimeoutCheck(l.connectDeadline)
-	s.postToSite(c.submission, event{kind: evConnect, conn: l})
+	s.conns = append(s.conns, cn)
+	c.conn = cn
+	s.scheduleTimeoutCheck(cn.connectDeadline)
+	s.postToSite(c.submission, event{kind: evConnect, conn: cn})
 }
 
 // postToSite sends an event to the site of a submission's destination.
@@ -506,10 +506,10 @@
 	h.call = nil
 	e.Notice, e.Receiver, e.Spent = c.notice, c.receiver, s.now()-c.startedAt
 	e.Over = e.Over || e.Result == rules.Handled
-	unrun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot ||
+	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot ||
 		e.Result == rules.Short ||
 		e.Result == rules.Recalled
-	if h.tripRecorded && unrun {
+	if h.tripRecorded && notRun {
 		h.mayHaveRunAt = h.mayHaveRunAt[:len(h.mayHaveRunAt)-1]
 	}
 	h.tripRecorded = false
@@ -533,10 +533,10 @@
 // mayBeLate reports whether a response received now may come after its notice's client timeout, as far as the
 // decider knows.
 func (s *sender) mayBeLate(n rules.NoticeID) bool {
-	judge, knows := s.decider.(interface {
+	checker, implemented := s.decider.(interface {
 		AnswerMayBeLate(rules.NoticeID, rules.Millis) bool
 	})
-	return knows && judge.AnswerMayBeLate(n, s.now()-s.startedAt)
+	return implemented && checker.AnswerMayBeLate(n, s.now()-s.startedAt)
 }
 
 // endNotice sets the final outcome of a notice and reports it.
--- a/internal/model/site.go
+++ b/internal/model/site.go
@@ -18,8 +18,8 @@
 	established, closed bool // closed: closed by the sender, or known to have ended
 	call                *call
 	lastUsed            rules.Millis
-	connectDeadline     rules.Millis
-	senderIndex         int // in the sender's conns
+	connectDeadline     rules.Millis // end of the connect timeout
+	senderIndex         int          // in the sender's conns
 
 	// Written by the site.
 	open          bool
@@ -145,18 +145,18 @@
 
 // applyFaults applies the faults that are active from now on to all receivers.
 func (s *site) applyFaults(now rules.Millis) {
-	refuses, blocked := false, false
+	refusing, unresponsive := false, false
 	for _, f := range s.gateway.Faults {
 		switch f.Kind {
 		case scenario.Refuse, scenario.Flap:
-			refuses = refuses || f.Active(now)
+			refusing = refusing || f.Active(now)
 		case scenario.Silent, scenario.NeverUp:
-			blocked = blocked || f.Active(now)
+			unresponsive = unresponsive || f.Active(now)
 		}
 	}
 	for _, p := range s.receivers {
-		p.refusing, p.unresponsive = refuses, blocked
-		if refuses {
+		p.refusing, p.unresponsive = refusing, unresponsive
+		if refusing {
 			s.resetConns(p)
 		}
 	}
@@ -203,8 +203,8 @@
 	switch {
 	case p != nil && p.unresponsive:
 		// No response: the sender's connect timeout ends the attempt.
-	case p == nil || p.removed || p.refusing, s.gateway.Group.Shape.Connections > 0 &&
-		s.openConns >= s.gateway.Group.Shape.Connections:
+	case p == nil || p.removed || p.refusing,
+		s.gateway.Group.Shape.Connections > 0 && s.openConns >= s.gateway.Group.Shape.Connections:
 		s.postToSender(c.sender, event{kind: evConnectRefused, conn: c})
 	default:
 		c.open, c.receiverIndex = true, len(p.conns)
@@ -227,12 +227,12 @@
 	if !c.conn.open {
 		return
 	}
-	h := c.submission
-	c.record = audit.Call{ID: h.id, Receiver: s.byID[c.receiver].name, Mark: h.effect.idempotencyKey,
+	sub := c.submission
+	c.record = audit.Call{ID: sub.id, Receiver: s.byID[c.receiver].name, Mark: sub.effect.idempotencyKey,
 		Dest: s.gateway.Number, Apart: s.world.apart[s.gateway.Number],
 		First: now, Last: now}
 	if _, silent := s.gateway.Active(scenario.Silent, now); silent {
-		s.deferToFaultChange(c) // the call is not read before the fault ends; then the connection is reset
+		s.deferToFaultChange(c) // the call is not read until the fault ends; then the connection is reset
 		c.fate = gateway.Fate{Reset: true, Unseen: true}
 		c.conn.serving = c
 		return
@@ -243,7 +243,7 @@
 		s.resetConn(c.conn)
 		return
 	}
-	c.fate = s.gateway.Decide(now, int(c.conn.sender)-firstSenderNode, h.effect.Grade)
+	c.fate = s.gateway.Decide(now, int(c.conn.sender)-firstSenderNode, sub.effect.Grade)
 	if c.fate.Fell {
 		s.overloads = append(s.overloads, audit.Fall{Dest: s.gateway.Number, At: now,
 			By: s.gateway.Core.Pushed(), Seen: s.gateway.SeenBy()})
