--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// load reads a scenario and sets its seed; with mix set, traffic and faults are drawn from the seed.
+// load reads a scenario and sets its seed; with mix set, its faults are replaced by faults drawn from the seed.
 func load(t *testing.T, name string, seed uint64, mix bool) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(name)
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -415,9 +415,9 @@
 // closeOldest closes the connection that has been idle for longest; it returns false if none is idle.
 func (s *sender) closeOldest() bool {
 	var oldest *conn
-	for _, l := range s.conns {
-		if l.established && l.call == nil && !l.closed && (oldest == nil || l.lastUsed < oldest.lastUsed) {
-			oldest = l
+	for _, cn := range s.conns {
+		if cn.established && cn.call == nil && !cn.closed && (oldest == nil || cn.lastUsed < oldest.lastUsed) {
+			oldest = cn
 		}
 	}
 	if oldest != nil {
@@ -437,9 +437,9 @@
 
 // recallCall withdraws a call before it is written and keeps its connection, which has been established.
 func (s *sender) recallCall(c *call) {
-	l := c.conn
-	l.call, l.lastUsed = nil, s.now()
-	s.idleConns[l.receiver] = append(s.idleConns[l.receiver], l)
+	cn := c.conn
+	cn.call, cn.lastUsed = nil, s.now()
+	s.idleConns[cn.receiver] = append(s.idleConns[cn.receiver], cn)
 	s.scheduleTimeoutCheck(s.now() + toMillis(s.limits.ReceiverIdle))
 	s.notices[c.notice].trips--
 	s.finishTrip(c, rules.TripEnded{Result: rules.Recalled})
@@ -473,8 +473,8 @@
 
 // handleResponse classifies a response and ends its trip.
 func (s *sender) handleResponse(c *call, r response) {
-	l := c.conn
-	if l.closed || l.call != c || !c.inFlight {
+	cn := c.conn
+	if cn.closed || cn.call != c || !c.inFlight {
 		return
 	}
 	e := rules.TripEnded{Result: rules.Errored}
@@ -487,12 +487,12 @@
 		e.Result, e.Wait = rules.Full, r.retryAfter
 	}
 	e.LimitTold, e.LimitLeft, e.LimitRate = r.limitReported, r.limitLeft, r.limitRate
-	l.call, l.lastUsed = nil, s.now()
+	cn.call, cn.lastUsed = nil, s.now()
 	if r.malformed {
 		e.LimitTold = false
-		s.closeConn(l)
+		s.closeConn(cn)
 	} else {
-		s.idleConns[l.receiver] = append(s.idleConns[l.receiver], l)
+		s.idleConns[cn.receiver] = append(s.idleConns[cn.receiver], cn)
 		s.scheduleTimeoutCheck(s.now() + toMillis(s.limits.ReceiverIdle))
 	}
 	s.finishTrip(c, e)
@@ -507,8 +507,7 @@
 	e.Notice, e.Receiver, e.Spent = c.notice, c.receiver, s.now()-c.startedAt
 	e.Over = e.Over || e.Result == rules.Handled
 	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot ||
-		e.Result == rules.Short ||
-		e.Result == rules.Recalled
+		e.Result == rules.Short || e.Result == rules.Recalled
 	if h.tripRecorded && notRun {
 		h.mayHaveRunAt = h.mayHaveRunAt[:len(h.mayHaveRunAt)-1]
 	}
@@ -624,21 +623,21 @@
 	for len(s.inFlight) > 0 && s.inFlight[0].timeoutAt <= now {
 		s.abortCall(s.inFlight[0], rules.TimedOut)
 	}
-	for _, l := range slices.Clone(s.conns) {
+	for _, cn := range slices.Clone(s.conns) {
 		switch {
-		case l.closed:
-		case !l.established && l.connectDeadline <= now:
-			c := l.call
-			s.closeConn(l)
+		case cn.closed:
+		case !cn.established && cn.connectDeadline <= now:
+			c := cn.call
+			s.closeConn(cn)
 			if c != nil && c.inFlight {
 				s.finishTrip(c, rules.TripEnded{Result: rules.NotConnected})
 			}
-		case !l.established:
-			next = min(next, l.connectDeadline)
-		case l.call == nil && l.lastUsed+toMillis(s.limits.ReceiverIdle) <= now:
-			s.closeConn(l)
-		case l.call == nil:
-			next = min(next, l.lastUsed+toMillis(s.limits.ReceiverIdle))
+		case !cn.established:
+			next = min(next, cn.connectDeadline)
+		case cn.call == nil && cn.lastUsed+toMillis(s.limits.ReceiverIdle) <= now:
+			s.closeConn(cn)
+		case cn.call == nil:
+			next = min(next, cn.lastUsed+toMillis(s.limits.ReceiverIdle))
 		}
 	}
 	if len(s.inFlight) > 0 {
@@ -658,8 +657,8 @@
 // stop ends the process: it closes all connections and drops the submissions that have not been answered.
 func (s *sender) stop() {
 	s.alive, s.paused, s.deferredEvents = false, false, nil
-	for _, l := range slices.Clone(s.conns) {
-		s.closeConn(l)
+	for _, cn := range slices.Clone(s.conns) {
+		s.closeConn(cn)
 	}
 	for _, h := range s.unanswered { // the clients of these get no answer
 		delete(s.notices, h.id)
