--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,7 +1,7 @@
-// Package model plays scenarios in simulated time: clients, senders, network, gateways and platform, each a node that
-// shares nothing with the others but messages. Senders run the very rules.Sender that the daemon runs, gateways the very
-// code of the stand-ins (internal/gateway), and scenarios are the very same files. From a world follow all results, to
-// the bit, whatever the number of workers. What the model leaves out is told in docs/lab.md.
+// Package model runs scenarios in simulated time. Clients, senders, network, gateways and platform are nodes that
+// interact only through messages. Senders run the daemon's rules.Sender, gateways the code of the stand-ins
+// (internal/gateway), and the scenario files are the same. All results of a scenario and seed are identical to the
+// bit, whatever the number of workers. What the model leaves out is described in docs/lab.md.
 package model
 
 import (
@@ -17,51 +17,53 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Network is how long messages take.
+// Network describes the latency and loss of messages between nodes.
 type Network struct {
-	Delay, Jitter rules.Millis // one way: the least, and the mean of what comes on top
-	Loss          float64      // share of the messages that the network must send again
+	Delay, Jitter rules.Millis // one way, in ms: the minimum, and the mean of the random extra delay
+	Loss          float64      // share of the messages that are lost once and sent again
 }
 
-// Loopback is what was measured between processes of one machine.
+// Loopback has the latency measured between processes of one machine.
 var Loopback = Network{Delay: 0.1, Jitter: 0.05}
 
-// retransmission is how much later a lost message comes: the least time after which TCP sends again.
+// retransmission is the extra delay of a lost message in milliseconds: TCP's minimum retransmission timeout.
 const retransmission = 200
 
-// Decider is what makes a sender's decisions: rules.Sender, or a baseline.
+// Decider makes a sender's decisions: rules.Sender, or a baseline.
 type Decider interface {
+	// Decide receives the events since the last call and returns the actions to execute.
 	Decide(now rules.Millis, events []rules.Event) []rules.Action
 }
 
-// Policy makes the Decider of one start of a sender, at a time of the run: its own time begins there.
-type Policy func(seed uint64, settings rules.Settings, began rules.Millis) Decider
+// Policy creates the Decider of one start of a sender. startedAt is the time of the run at which the Decider's time
+// 0 is.
+type Policy func(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider
 
-// Ours is the policy of the daemon.
-func Ours(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
+// Daemon is the policy of the daemon.
+func Daemon(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
 	return rules.New(seed, settings)
 }
 
-// Options is how to play a world.
+// Options says how to run a scenario.
 type Options struct {
 	Network Network
-	Policy  Policy // nil: Ours
-	Workers int    // below 1: as many as there are processors; results don't depend on it
-	Record  bool   // keep all that was seen, and audit it
+	Policy  Policy // nil: Daemon
+	Workers int    // below 1: the number of processors; results don't depend on it
+	Record  bool   // keep everything that the audit needs, and audit it
 	Sick    func(destination int) bool
 }
 
-// Bin is the credit of what was to be handed in within a part of the run.
+// Bin is the credit of the effects that were due within one part of the run.
 type Bin struct {
 	Asked  float64 `json:"asked"`
 	Earned float64 `json:"earned"`
 }
 
-// binSpan is how long a Bin is.
+// binSpan is the duration of a Bin in milliseconds.
 const binSpan rules.Millis = 500
 
-// Turned is a change of a breaker.
-type Turned struct {
+// BreakerChange is a change of a breaker's state.
+type BreakerChange struct {
 	At          rules.Millis `json:"at"`
 	Sender      int          `json:"sender"`
 	Destination int          `json:"destination"`
@@ -69,212 +71,230 @@
 	Why         string       `json:"why"`
 }
 
-// Result is what a run came to. All figures are the model's.
+// Result is the result of a run. All figures are the model's.
 type Result struct {
 	Scenario   string          `json:"scenario"`
 	Seed       uint64          `json:"seed"`
 	All        results.Share   `json:"all"`
 	Grades     []results.Share `json:"grades"`
 	Well, Sick results.Share
-	Handed     int            `json:"handed"`
-	Taken      int            `json:"taken"`
-	Refused    int            `json:"refused"`
-	Unanswered int            `json:"unanswered"`
-	Dismissed  int            `json:"dismissed"`
-	BrokenOff  int            `json:"broken_off"`
-	Calls      int            `json:"calls"`
-	CallsFull  int            `json:"calls_full"`
-	Further    int            `json:"further"`
-	Second     int            `json:"second_effects"`
-	Short      int            `json:"short"`
-	Falls      int            `json:"falls"` // destinations that fell over on their return
-	Bins       []Bin          `json:"bins,omitempty"`
-	Events     int64          `json:"events"`
-	Wall       time.Duration  `json:"-"`
-	Broken     bool           `json:"broken,omitempty"` // ended before its time
-	Turns      []Turned       `json:"-"`
-	Breaches   []audit.Breach `json:"breaches,omitempty"`
-	View       audit.View     `json:"-"`
+	Handed     int             `json:"handed"`
+	Taken      int             `json:"taken"`
+	Refused    int             `json:"refused"`
+	Unanswered int             `json:"unanswered"`
+	Dismissed  int             `json:"dismissed"`
+	BrokenOff  int             `json:"broken_off"`
+	Calls      int             `json:"calls"`
+	CallsFull  int             `json:"calls_full"`
+	Further    int             `json:"further"`
+	Second     int             `json:"second_effects"`
+	Short      int             `json:"short"`
+	Falls      int             `json:"falls"` // recovering destinations that were overloaded again
+	Bins       []Bin           `json:"bins,omitempty"`
+	Events     int64           `json:"events"`
+	Wall       time.Duration   `json:"-"`
+	Broken     bool            `json:"broken,omitempty"` // cancelled before its end
+	Turns      []BreakerChange `json:"-"`
+	Breaches   []audit.Breach  `json:"breaches,omitempty"`
+	View       audit.View      `json:"-"`
 }
 
-// The nodes: clients with the platform, then the senders, then the sites.
+// Node numbers: the clients and the platform share the first, then come the senders, then the sites.
 const (
-	outside     = 0
-	firstSender = 1
+	outsideNode     = 0
+	firstSenderNode = 1
 )
 
-// world is a scenario's world with what all nodes may read.
+// world is a scenario instance, with data that all nodes may read.
 type world struct {
 	*scenario.World
-	options   Options
-	record    bool
-	turn      rules.Millis
-	names     []string // receivers' names by their ids
-	ids       map[string]rules.ReceiverID
-	destOf    []int32 // by receiver
-	apart     []bool  // by destination
-	kinds     []rules.KindID
-	firstList rules.ListTold
+	options       Options
+	record        bool
+	turnInterval  rules.Millis
+	receiverNames []string // by receiver number
+	receiverIDs   map[string]rules.ReceiverID
+	destinationOf []int32 // by receiver number
+	apart         []bool  // by destination: each receiver is a separate route
+	kinds         []rules.KindID
+	firstList     rules.ListTold
 }
 
-func (w *world) receiver(name string) rules.ReceiverID { return w.ids[name] }
+// receiver returns the number of a receiver.
+func (w *world) receiver(name string) rules.ReceiverID { return w.receiverIDs[name] }
 
-func (w *world) newReceiver(name string, destination int) {
-	if _, known := w.ids[name]; known {
+// addReceiver gives a receiver a number, if it has none.
+func (w *world) addReceiver(name string, destination int) {
+	if _, known := w.receiverIDs[name]; known {
 		return
 	}
-	w.ids[name] = rules.ReceiverID(len(w.names))
-	w.names = append(w.names, name)
-	w.destOf = append(w.destOf, int32(destination))
+	w.receiverIDs[name] = rules.ReceiverID(len(w.receiverNames))
+	w.receiverNames = append(w.receiverNames, name)
+	w.destinationOf = append(w.destinationOf, int32(destination))
 }
 
-func (w *world) siteOf(destination int) int32 {
-	return int32(firstSender + w.Senders + destination - 1)
+// siteNode returns the node number of a destination's site.
+func (w *world) siteNode(destination int) int32 {
+	return int32(firstSenderNode + w.Senders + destination - 1)
 }
 
-func (w *world) sick(destination int) bool {
+// isFailing reports whether results count a destination as failing.
+func (w *world) isFailing(destination int) bool {
 	if w.options.Sick != nil {
 		return w.options.Sick(destination)
 	}
 	return len(w.Destinations[destination-1].Faults) > 0
 }
 
-func (w *world) entry(name, standing string) rules.Entry {
-	id := w.ids[name]
-	d := int(w.destOf[id])
-	e := rules.Entry{Receiver: id, Destination: rules.DestinationID(d), Kind: w.kinds[d], ListedRate: w.Destinations[d-1].Group.Shape.Limit}
+// listEntry returns the entry of a receiver in the receiver list.
+func (w *world) listEntry(name, standing string) rules.Entry {
+	id := w.receiverIDs[name]
+	destination := int(w.destinationOf[id])
+	entry := rules.Entry{Receiver: id, Destination: rules.DestinationID(destination), Kind: w.kinds[destination],
+		ListedRate: w.Destinations[destination-1].Group.Shape.Limit}
 	switch standing {
 	case "ready":
-		e.Standing = rules.Ready
+		entry.Standing = rules.Ready
 	case "draining":
-		e.Standing = rules.Draining
+		entry.Standing = rules.Draining
 	}
-	return e
+	return entry
 }
 
-func (w *world) policy(seed uint64, settings rules.Settings, began rules.Millis) Decider {
+// newDecider creates a sender's Decider by the policy of the run.
+func (w *world) newDecider(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider {
 	if w.options.Policy != nil {
-		return w.options.Policy(seed, settings, began)
+		return w.options.Policy(seed, settings, startedAt)
 	}
-	return Ours(seed, settings, began)
+	return Daemon(seed, settings, startedAt)
 }
 
-func seedOf(seed uint64, sender int, starts uint64) uint64 {
-	return scenario.Chance(seed, 1<<42+uint64(sender)+starts<<32).Uint64()
+// senderSeed derives the seed of one start of a sender.
+func senderSeed(seed uint64, sender int, startCount uint64) uint64 {
+	return scenario.Chance(seed, 1<<42+uint64(sender)+startCount<<32).Uint64()
 }
 
-func millisOf(d time.Duration) rules.Millis { return rules.Millis(d) / rules.Millis(time.Millisecond) }
+// toMillis converts a duration to milliseconds.
+func toMillis(duration time.Duration) rules.Millis {
+	return rules.Millis(duration) / rules.Millis(time.Millisecond)
+}
 
-// Run plays a scenario. A context that ends breaks it off: the result then tells what was so far, and is Broken.
-func Run(ctx context.Context, s *scenario.Scenario, o Options) *Result {
-	began := time.Now()
-	if o.Network.Delay <= 0 {
-		o.Network = Loopback
+// Run runs a scenario. If the context ends first, the run is cancelled: the result covers the time until then and
+// is marked Broken.
+func Run(ctx context.Context, played *scenario.Scenario, options Options) *Result {
+	startedAt := time.Now()
+	if options.Network.Delay <= 0 {
+		options.Network = Loopback
 	}
-	workers := o.Workers
+	workers := options.Workers
 	if workers < 1 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	w := &world{World: scenario.Lay(s), options: o, record: o.Record, turn: s.Settings.Tick / 10, ids: map[string]rules.ReceiverID{}}
-	w.apart, w.kinds = make([]bool, len(w.Destinations)+1), make([]rules.KindID, len(w.Destinations)+1)
-	// Number 0 is nobody's, so that no receiver is taken for none.
-	w.names, w.destOf = []string{""}, []int32{0}
-	for _, d := range w.Destinations {
-		if k := slices.Index(w.Names.Kinds, d.Group.Kind); k >= 0 {
-			w.kinds[d.Number], w.apart[d.Number] = rules.KindID(k), w.Settings.Kinds[k].Apart
+	run := &world{World: scenario.Lay(played), options: options, record: options.Record,
+		turnInterval: played.Settings.Tick / 10, receiverIDs: map[string]rules.ReceiverID{}}
+	run.apart, run.kinds = make([]bool, len(run.Destinations)+1), make([]rules.KindID, len(run.Destinations)+1)
+	// Receiver number 0 is reserved for "no receiver".
+	run.receiverNames, run.destinationOf = []string{""}, []int32{0}
+	for _, d := range run.Destinations {
+		if k := slices.Index(run.Names.Kinds, d.Group.Kind); k >= 0 {
+			run.kinds[d.Number], run.apart[d.Number] = rules.KindID(k), run.Settings.Kinds[k].Apart
 		} else {
-			w.kinds[d.Number] = rules.KindID(len(w.Names.Kinds))
+			run.kinds[d.Number] = rules.KindID(len(run.Names.Kinds))
 		}
 		for _, name := range d.Receivers {
-			w.newReceiver(name, d.Number)
+			run.addReceiver(name, d.Number)
 		}
 	}
-	w.firstList.Whole = true
-	for _, d := range w.Destinations {
+	run.firstList.Whole = true
+	for _, d := range run.Destinations {
 		for _, name := range d.Receivers {
-			w.firstList.Entries = append(w.firstList.Entries, w.entry(name, "ready"))
+			run.firstList.Entries = append(run.firstList.Entries, run.listEntry(name, "ready"))
 		}
 	}
-	nodes := firstSender + w.Senders + len(w.Destinations)
+	nodes := firstSenderNode + run.Senders + len(run.Destinations)
 	workers = max(min(workers, nodes/8), 1)
-	e := newEngine(o.Network.Delay, nodes, workers, func(id int) int { return id % workers })
+	eng := newEngine(options.Network.Delay, nodes, workers, func(id int) int { return id % workers })
 	port := func(id int) port {
-		return port{id: int32(id), own: e.home[id], e: e, net: o.Network, draw: rand.New(rand.NewPCG(s.Seed, 1<<43+uint64(id)))}
+		return port{id: int32(id), worker: eng.workerOf[id], engine: eng, network: options.Network,
+			rng: rand.New(rand.NewPCG(played.Seed, 1<<43+uint64(id)))}
 	}
-	c := newClient(w, port(outside))
-	e.nodes[outside] = c
+	clients := newClient(run, port(outsideNode))
+	eng.nodes[outsideNode] = clients
 	var senders []*sender
-	for i := range w.Senders {
-		one := newSender(w, port(firstSender+i), i)
+	for i := range run.Senders {
+		one := newSender(run, port(firstSenderNode+i), i)
 		senders = append(senders, one)
-		e.nodes[firstSender+i] = one
+		eng.nodes[firstSenderNode+i] = one
 	}
 	var sites []*site
-	for _, d := range w.Destinations {
-		one := newSite(w, port(int(w.siteOf(d.Number))), d)
+	for _, d := range run.Destinations {
+		one := newSite(run, port(int(run.siteNode(d.Number))), d)
 		sites = append(sites, one)
-		e.nodes[one.id] = one
+		eng.nodes[one.id] = one
 	}
-	// Messages of the beginning went to workers' boxes.
-	for _, from := range e.workers {
-		for place, events := range from.out {
+	// Events posted while the nodes were created are still in the workers' outboxes.
+	for _, from := range eng.workers {
+		for index, events := range from.outbox {
 			for _, x := range events {
-				e.workers[place].push(x)
+				eng.workers[index].push(x)
 			}
-			from.out[place] = nil
+			from.outbox[index] = nil
 		}
 	}
-	until := w.Length + w.Settle
-	whole := e.run(until, func(rules.Millis) bool { return ctx.Err() != nil })
-	c.own.now = max(c.own.now, until)
-	c.settle(true)
-	r := &Result{Scenario: s.Name, Seed: s.Seed, All: c.all.Share(), Well: c.well.Share(), Sick: c.sick.Share(), Handed: c.counted.handed,
-		Taken: c.counted.taken, Refused: c.counted.refused, Unanswered: c.counted.unanswered, Dismissed: c.counted.dismissed,
-		BrokenOff: c.counted.brokenOff, Bins: c.bins, Events: e.events(), Broken: !whole}
-	for _, g := range c.grade {
-		r.Grades = append(r.Grades, g.Share())
+	until := run.Length + run.Settle
+	whole := eng.run(until, func(rules.Millis) bool { return ctx.Err() != nil })
+	clients.worker.now = max(clients.worker.now, until)
+	clients.settleEffects(true)
+	result := &Result{Scenario: played.Name, Seed: played.Seed, All: clients.all.Share(),
+		Well: clients.healthy.Share(), Sick: clients.failing.Share(), Handed: clients.counts.submitted,
+		Taken: clients.counts.accepted, Refused: clients.counts.refused, Unanswered: clients.counts.unanswered,
+		Dismissed: clients.counts.dismissed,
+		BrokenOff: clients.counts.brokenOff, Bins: clients.bins, Events: eng.events(), Broken: !whole}
+	for _, g := range clients.grades {
+		result.Grades = append(result.Grades, g.Share())
 	}
 	for _, one := range sites {
-		r.Calls += one.counted.calls
-		r.CallsFull += one.counted.full
-		r.Further += one.counted.further
-		r.Second += one.counted.second
-		r.Falls += len(one.falls)
+		result.Calls += one.counts.calls
+		result.CallsFull += one.counts.fullResponses
+		result.Further += one.counts.furtherCalls
+		result.Second += one.counts.secondEffects
+		result.Falls += len(one.overloads)
 	}
 	for _, one := range senders {
-		r.Short += one.counted.short
-		r.Turns = append(r.Turns, one.turns...)
+		result.Short += one.counts.localShortages
+		result.Turns = append(result.Turns, one.breakerChanges...)
 	}
-	if o.Record {
-		r.View = view(c, senders, sites)
+	if options.Record {
+		result.View = view(clients, senders, sites)
 		if whole {
-			r.Breaches = r.View.Check(w.Settings, tolerances, until)
+			result.Breaches = result.View.Check(run.Settings, tolerances, until)
 		}
 	}
-	r.Wall = time.Since(began)
-	return r
+	result.Wall = time.Since(startedAt)
+	return result
 }
 
-// tolerances of the auditor: nothing is late for want of a processor here, but messages still take their time.
+// tolerances of the audit, in ms: nothing is delayed by a lack of processors here, but messages still take time.
 var tolerances = audit.Tolerances{Slack: 5, Lost: 300, Restart: 1500, Drain: 1000, Wait: 20, Crossing: 20}
 
-// view puts together what all nodes saw.
+// view collects what all nodes recorded, for the audit.
 func view(c *client, senders []*sender, sites []*site) audit.View {
-	v := audit.View{Ends: c.ends, Shut: c.shut}
-	for _, h := range c.hands {
-		v.Hands = append(v.Hands, audit.Hand{ID: h.id, Effect: effectName(h.eff), Mark: h.eff.mark, Grade: h.eff.Grade,
-			Portfolio: h.eff.Portfolio, Key: h.eff.Key, Dest: h.eff.Destination, Sender: h.sender, At: h.at, Until: h.until, Intended: h.eff.At,
-			Again: h.again, Status: h.status, Answered: h.answeredAt})
+	v := audit.View{Ends: c.outcomes, Shut: c.refusals}
+	for _, h := range c.submissions {
+		v.Hands = append(v.Hands, audit.Hand{ID: h.id, Effect: effectName(h.effect),
+			Mark: h.effect.idempotencyKey, Grade: h.effect.Grade,
+			Portfolio: h.effect.Portfolio, Key: h.effect.Key, Dest: h.effect.Destination, Sender: h.sender,
+			At: h.submittedAt, Until: h.deadline, Intended: h.effect.At,
+			Again: h.resubmission, Status: h.status, Answered: h.answeredAt})
 	}
 	for _, s := range sites {
-		for _, one := range s.calls {
-			v.Calls = append(v.Calls, one.noted)
+		for _, recorded := range s.recordedCalls {
+			v.Calls = append(v.Calls, recorded.record)
 		}
-		v.Falls = append(v.Falls, s.falls...)
+		v.Falls = append(v.Falls, s.overloads...)
 	}
 	for _, s := range senders {
-		v.Told = append(v.Told, s.told...)
-		v.Lives = append(v.Lives, s.lives...)
+		v.Told = append(v.Told, s.listRecords...)
+		v.Lives = append(v.Lives, s.lifeRecords...)
 	}
 	return v
 }
