--- a/cmd/chutelab/lab.go
+++ b/cmd/chutelab/lab.go
@@ -34,7 +34,7 @@
 	network         model.Network
 	delay, jitter   time.Duration
 	memory          float64
-	keeping         error // why rows could not be kept
+	rowsErr         error // why rows could not be kept
 }
 
 func (l *labFlags) add(c *cobra.Command, seeds int) {
@@ -53,18 +53,18 @@
 	f.Float64Var(&l.network.Loss, "loss", 0, "share of the messages that the network must send again")
 }
 
-func (l *labFlags) plan(ways []lab.Way, c *cobra.Command) lab.Plan {
+func (l *labFlags) plan(variants []lab.Variant, c *cobra.Command) lab.Plan {
 	l.network.Delay, l.network.Jitter = millis(l.delay), millis(l.jitter)
-	total, done, began := len(ways)*l.seeds, 0, time.Now()
-	p := lab.Plan{Scenario: l.scenario, Ways: ways, Seeds: lab.Seeds(l.seed, l.seeds), Parallel: l.parallel, Record: l.audit,
+	total, done, start := len(variants)*l.seeds, 0, time.Now()
+	p := lab.Plan{Scenario: l.scenario, Variants: variants, Seeds: lab.ConsecutiveSeeds(l.seed, l.seeds), Parallel: l.parallel, Record: l.audit,
 		Network: l.network, Command: "chutelab " + strings.Join(os.Args[1:], " ")}
-	p.Done = func(r lab.Row) {
+	p.OnRow = func(r lab.Row) {
 		// Each row is kept as it comes: what ends the program takes none of those that are done.
-		if l.rows != "" && l.keeping == nil {
-			l.keeping = lab.Keep(l.rows, []lab.Row{r})
+		if l.rows != "" && l.rowsErr == nil {
+			l.rowsErr = lab.AppendRows(l.rows, []lab.Row{r})
 		}
 		if done++; term.IsTerminal(int(os.Stderr.Fd())) {
-			fmt.Fprintf(c.ErrOrStderr(), "\r\x1b[K%d of %d runs, %.0f s", done, total, time.Since(began).Seconds())
+			fmt.Fprintf(c.ErrOrStderr(), "\r\x1b[K%d of %d runs, %.0f s", done, total, time.Since(start).Seconds())
 			if done == total {
 				fmt.Fprint(c.ErrOrStderr(), "\r\x1b[K")
 			}
@@ -75,10 +75,10 @@
 
 // finish keeps what was done, also of a plan that was broken off, and writes the report.
 func (l *labFlags) finish(out io.Writer, rows []lab.Row, runErr error, report func() (string, error)) error {
-	if l.keeping != nil {
-		return errors.Join(runErr, l.keeping)
+	if l.rowsErr != nil {
+		return errors.Join(runErr, l.rowsErr)
 	}
-	if runErr != nil && !errors.Is(runErr, lab.ErrEnded) {
+	if runErr != nil && !errors.Is(runErr, lab.ErrInterrupted) {
 		return runErr
 	}
 	if len(rows) > 0 {
@@ -101,7 +101,7 @@
 		return runErr
 	}
 	for _, r := range rows {
-		if r.Way == "ours" && r.Result != nil && len(r.Result.Breaches) > 0 {
+		if r.Variant == "ours" && r.Result != nil && len(r.Result.Breaches) > 0 {
 			return fmt.Errorf("seed %d broke a rule: %s", r.Seed, r.Result.Breaches[0])
 		}
 	}
@@ -141,7 +141,7 @@
 
 func labRun() *cobra.Command {
 	var l labFlags
-	var way string
+	var variant string
 	var workers int
 	c := &cobra.Command{
 		Use: "run", Short: "Play one scenario over many seeds", Args: cli.Args(cobra.NoArgs),
@@ -151,7 +151,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := l.interruptible(c)
 			defer stop()
-			w, err := lab.ParseWay(way)
+			w, err := lab.ParseVariant(variant)
 			if err != nil {
 				return cli.Misused("%s", err)
 			}
@@ -174,13 +174,13 @@
 					float64(r.Events)/r.Wall.Seconds()/1e6, float64(mem.Sys)/1e9, r.All.Credit, r.All.Delivered, r.Calls, r.Further,
 					r.All.Delivery.P50, r.All.Delivery.P99)
 				if r.Broken {
-					return lab.ErrEnded
+					return lab.ErrInterrupted
 				}
 				return nil
 			}
-			rows, err := l.plan([]lab.Way{w}, c).Run(ctx)
+			rows, err := l.plan([]lab.Variant{w}, c).Run(ctx)
 			return l.finish(c.OutOrStdout(), rows, err, func() (string, error) {
-				text := lab.Table(rows)
+				text := lab.SummaryTable(rows)
 				if l.out != "" {
 					if err := l.charts(rows); err != nil {
 						return "", err
@@ -191,7 +191,7 @@
 		},
 	}
 	l.add(c, 20)
-	c.Flags().StringVar(&way, "way", "", "policy=NAME, file=PATH, mix=true, section.key=value, with commas between")
+	c.Flags().StringVar(&variant, "way", "", "policy=NAME, file=PATH, mix=true, section.key=value, with commas between")
 	c.Flags().IntVar(&workers, "workers", 1, "play one seed on so many processors, and tell how fast")
 	return c
 }
@@ -211,11 +211,11 @@
 			credit.Bands = append(credit.Bands, chart.Band{Name: f.Kind, From: float64(f.At) / 1000, To: min(float64(f.Until()), float64(s.Length)) / 1000})
 		}
 	}
-	for _, way := range lab.Ways(rows) {
-		line := chart.Series{Name: way}
+	for _, variant := range lab.VariantNames(rows) {
+		line := chart.Series{Name: variant}
 		var asked, earned []float64
 		for _, r := range rows {
-			if r.Way != way || r.Result == nil {
+			if r.Variant != variant || r.Result == nil {
 				continue
 			}
 			for i, b := range r.Result.Bins {
@@ -255,11 +255,11 @@
 				return cli.Misused("--rows-a and --rows-b go together")
 			}
 			if rowsA != "" {
-				first, err := lab.Load(rowsA)
+				first, err := lab.LoadRows(rowsA)
 				if err != nil {
 					return err
 				}
-				second, err := lab.Load(rowsB)
+				second, err := lab.LoadRows(rowsB)
 				if err != nil {
 					return err
 				}
@@ -269,15 +269,15 @@
 			}
 			ctx, stop := l.interruptible(c)
 			defer stop()
-			wayA, err := lab.ParseWay(a)
+			variantA, err := lab.ParseVariant(a)
 			if err != nil {
 				return cli.Misused("--a: %s", err)
 			}
-			wayB, err := lab.ParseWay(b)
+			variantB, err := lab.ParseVariant(b)
 			if err != nil {
 				return cli.Misused("--b: %s", err)
 			}
-			if wayA.Name == wayB.Name {
+			if variantA.Name == variantB.Name {
 				return cli.Misused("--a and --b are the same way")
 			}
 			if !slices.ContainsFunc(lab.Figures, func(f lab.Figure) bool { return f.Name == figure }) {
@@ -285,17 +285,17 @@
 			}
 			var rows []lab.Row
 			for {
-				more, err := l.plan([]lab.Way{wayA, wayB}, c).Run(ctx)
+				more, err := l.plan([]lab.Variant{variantA, variantB}, c).Run(ctx)
 				rows = append(rows, more...)
-				d := lab.Difference(lab.Values(rows, wayA.Name, figure), lab.Values(rows, wayB.Name, figure))
-				if err != nil || width <= 0 || d.Half() <= width || len(rows)/2 >= most {
+				d := lab.PairedDifference(lab.Values(rows, variantA.Name, figure), lab.Values(rows, variantB.Name, figure))
+				if err != nil || width <= 0 || d.HalfWidth() <= width || len(rows)/2 >= most {
 					return l.finish(c.OutOrStdout(), rows, err, func() (string, error) {
 						if l.out != "" {
 							if err := l.charts(rows); err != nil {
 								return "", err
 							}
 						}
-						return lab.Compare(rows, wayA.Name, wayB.Name), nil
+						return lab.CompareVariants(rows, variantA.Name, variantB.Name), nil
 					})
 				}
 				l.seed += uint64(l.seeds)
@@ -318,7 +318,7 @@
 	var l labFlags
 	var params []string
 	var samples int
-	var way, figure string
+	var variant, figure string
 	c := &cobra.Command{
 		Use: "sweep", Short: "Play a scenario over a grid or a hypercube of settings", Args: cli.Args(cobra.NoArgs),
 		Example: `  chutelab lab sweep --scenario sick --param sending.slots=16,32,64 --param sending.trips=2,4,8
@@ -327,7 +327,7 @@
 			if len(params) == 0 {
 				return cli.Misused("--param: at least one, such as sending.slots=16,32")
 			}
-			base, err := lab.ParseWay(way)
+			base, err := lab.ParseVariant(variant)
 			if err != nil {
 				return cli.Misused("--way: %s", err)
 			}
@@ -339,35 +339,35 @@
 				}
 				ranges = append(ranges, r)
 			}
-			var ways []lab.Way
+			var variants []lab.Variant
 			if samples > 0 {
-				ways = lab.Hypercube(base, ranges, samples, l.seed)
-			} else if ways, err = lab.Grid(base, ranges); err != nil {
+				variants = lab.Hypercube(base, ranges, samples, l.seed)
+			} else if variants, err = lab.Grid(base, ranges); err != nil {
 				return cli.Misused("%s", err)
 			}
 			ctx, stop := l.interruptible(c)
 			defer stop()
-			rows, err := l.plan(ways, c).Run(ctx)
+			rows, err := l.plan(variants, c).Run(ctx)
 			return l.finish(c.OutOrStdout(), rows, err, func() (string, error) {
 				if l.out != "" && len(ranges) <= 2 && samples == 0 {
-					if err := l.sweepChart(rows, ranges, ways, figure); err != nil {
+					if err := l.sweepChart(rows, ranges, variants, figure); err != nil {
 						return "", err
 					}
 				}
-				return lab.Table(rows), nil
+				return lab.SummaryTable(rows), nil
 			})
 		},
 	}
 	l.add(c, 10)
 	c.Flags().StringArrayVar(&params, "param", nil, "a setting with its values, or with its span for --samples")
 	c.Flags().IntVar(&samples, "samples", 0, "a Latin hypercube of so many in place of the grid")
-	c.Flags().StringVar(&way, "way", "", "what all have in common")
+	c.Flags().StringVar(&variant, "way", "", "what all have in common")
 	c.Flags().StringVar(&figure, "figure", "credit", "the figure that the chart shows")
 	return c
 }
 
 // sweepChart draws a figure over the last parameter, a line for each value of the first of two.
-func (l *labFlags) sweepChart(rows []lab.Row, ranges []lab.Range, ways []lab.Way, figure string) error {
+func (l *labFlags) sweepChart(rows []lab.Row, ranges []lab.Range, ways []lab.Variant, figure string) error {
 	last := ranges[len(ranges)-1]
 	c := chart.Chart{Title: figure + ", " + l.scenario, X: last.Key, Y: figure, Points: true}
 	per := len(last.Values)
@@ -379,7 +379,7 @@
 		for j, v := range last.Values {
 			x := float64(j)
 			fmt.Sscanf(v, "%g", &x)
-			line.X, line.Y = append(line.X, x), append(line.Y, lab.Of(lab.Values(rows, ways[i+j].Name, figure)).Mean)
+			line.X, line.Y = append(line.X, x), append(line.Y, lab.EstimateMean(lab.Values(rows, ways[i+j].Name, figure)).Mean)
 		}
 		c.Lines = append(c.Lines, line)
 	}
@@ -391,7 +391,7 @@
 
 func labSearch() *cobra.Command {
 	var l labFlags
-	var way, against, write string
+	var variant, reference, write string
 	var breaches bool
 	var keep float64
 	c := &cobra.Command{
@@ -404,26 +404,26 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := l.interruptible(c)
 			defer stop()
-			w, err := lab.ParseWay(way)
+			w, err := lab.ParseVariant(variant)
 			if err != nil {
 				return cli.Misused("--way: %s", err)
 			}
 			done := 0
-			s := lab.Search{Base: l.scenario, Way: w, Against: against, Breaches: breaches, Seeds: lab.Seeds(l.seed, l.seeds),
-				Parallel: l.parallel, Done: func(f lab.Found) {
+			s := lab.Search{Base: l.scenario, Variant: w, Reference: reference, SearchBreaches: breaches, Seeds: lab.ConsecutiveSeeds(l.seed, l.seeds),
+				Parallel: l.parallel, OnFinding: func(f lab.Finding) {
 					if done++; term.IsTerminal(int(os.Stderr.Fd())) {
 						fmt.Fprintf(os.Stderr, "\r\x1b[K%d of %d seeds", done, l.seeds)
 					}
 				}}
 			out := c.OutOrStdout()
 			found, err := s.Run(ctx)
-			if err != nil && !errors.Is(err, lab.ErrEnded) || len(found) == 0 {
+			if err != nil && !errors.Is(err, lab.ErrInterrupted) || len(found) == 0 {
 				return err
 			}
 			for _, f := range found[:min(len(found), 10)] {
-				fmt.Fprintln(out, describe(f))
+				fmt.Fprintln(out, formatFinding(f))
 			}
-			if breaches && found[0].Bad == 0 {
+			if breaches && found[0].Badness == 0 {
 				fmt.Fprintf(out, "no rule broken in %d runs\n", len(found))
 				return err
 			}
@@ -431,7 +431,7 @@
 			if shrinkErr != nil {
 				return shrinkErr
 			}
-			fmt.Fprintf(out, "\nshortened: %s\n", describe(worst))
+			fmt.Fprintf(out, "\nshortened: %s\n", formatFinding(worst))
 			for _, f := range worst.Scenario.Faults {
 				fmt.Fprintf(out, "  %5.1f to %.1f s  %s %s part %.2f share %.2f size %.2f\n", f.At/1000, f.Until()/1000, f.Kind, f.Grade, f.Part, f.Share, f.Size)
 			}
@@ -439,7 +439,7 @@
 				fmt.Fprintln(out, b)
 			}
 			if write != "" {
-				text, err := s.Write(worst, describe(worst))
+				text, err := s.ScenarioFile(worst, formatFinding(worst))
 				if err != nil {
 					return err
 				}
@@ -448,26 +448,26 @@
 				}
 			}
 			if breaches {
-				return fmt.Errorf("%d of %d runs broke a rule", len(slices.DeleteFunc(found, func(f lab.Found) bool { return f.Bad == 0 })), l.seeds)
+				return fmt.Errorf("%d of %d runs broke a rule", len(slices.DeleteFunc(found, func(f lab.Finding) bool { return f.Badness == 0 })), l.seeds)
 			}
 			return err
 		},
 	}
 	l.add(c, 200)
 	f := c.Flags()
-	f.StringVar(&way, "way", "", "ours, with what is set otherwise")
-	f.StringVar(&against, "against", model.Oracle, "the policy that ours is held against")
+	f.StringVar(&variant, "way", "", "ours, with what is set otherwise")
+	f.StringVar(&reference, "against", model.Oracle, "the policy that ours is held against")
 	f.BoolVar(&breaches, "breaches", false, "look for broken rules")
 	f.Float64Var(&keep, "keep", 0.9, "how much of the badness shortening must leave")
 	f.StringVar(&write, "write", "", "a file for the scenario found")
 	return c
 }
 
-func describe(f lab.Found) string {
-	if f.Other == nil {
+func formatFinding(f lab.Finding) string {
+	if f.Reference == nil {
 		return fmt.Sprintf("seed %d: %d breaches, credit %.3f", f.Seed, len(f.Ours.Breaches), f.Ours.All.Credit)
 	}
-	return fmt.Sprintf("seed %d: %.3f lost: credit %.3f, the other %.3f, %d notices, %d faults", f.Seed, f.Bad, f.Ours.All.Credit, f.Other.All.Credit,
+	return fmt.Sprintf("seed %d: %.3f lost: credit %.3f, the other %.3f, %d notices, %d faults", f.Seed, f.Badness, f.Ours.All.Credit, f.Reference.All.Credit,
 		f.Ours.All.Asked, len(f.Scenario.Faults))
 }
 
@@ -480,7 +480,7 @@
 		RunE: func(c *cobra.Command, files []string) error {
 			var rows []lab.Row
 			for _, f := range files {
-				more, err := lab.Load(f)
+				more, err := lab.LoadRows(f)
 				if err != nil {
 					return err
 				}
@@ -489,11 +489,11 @@
 			if len(rows) == 0 {
 				return errors.New("no rows")
 			}
-			fmt.Fprint(c.OutOrStdout(), lab.Table(rows))
+			fmt.Fprint(c.OutOrStdout(), lab.SummaryTable(rows))
 			if against != "" {
-				for _, w := range lab.Ways(rows) {
+				for _, w := range lab.VariantNames(rows) {
 					if w != against {
-						fmt.Fprintf(c.OutOrStdout(), "\n%s", lab.Compare(rows, against, w))
+						fmt.Fprintf(c.OutOrStdout(), "\n%s", lab.CompareVariants(rows, against, w))
 					}
 				}
 			}
@@ -521,7 +521,7 @@
 			if err != nil {
 				return fmt.Errorf("no sender to try: %w", err)
 			}
-			text, held, err := l.truth(ctx, path, names, tries)
+			text, held, err := l.validateModel(ctx, path, names, tries)
 			fmt.Fprint(c.OutOrStdout(), text)
 			if err != nil {
 				return err
--- a/cmd/chutelab/truth.go
+++ b/cmd/chutelab/truth.go
@@ -13,8 +13,8 @@
 
 // truth holds predictions against sockets. What is predicted is a single run: the spread of single seeds, widened for the
 // mean's own error, and at least by what a busy machine costs every run (leeway).
-func (l *labFlags) truth(ctx context.Context, program string, names []string, tries int) (text string, held float64, err error) {
-	const leeway = 0.005
+func (l *labFlags) validateModel(ctx context.Context, program string, names []string, tries int) (text string, shareWithin float64, err error) {
+	const minHalfWidth = 0.005
 	if len(names) == 0 {
 		names = scenario.Builtin()
 	}
@@ -22,19 +22,19 @@
 	fmt.Fprintf(&b, "Predicted by the model over %d seeds; measured by `try` on loopback, %d other seeds each. A measured run holds if it falls "+
 		"within the prediction of a single run (95%%, and %.3f at the least).\n\n"+
 		"| scenario | credit predicted | for a single run | credit measured | calls a notice | measured | dismissed a notice | measured | holds |\n"+
-		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", l.seeds, tries, leeway)
-	good, all := 0, 0
+		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", l.seeds, tries, minHalfWidth)
+	within, total := 0, 0
 	l.network.Delay, l.network.Jitter = millis(l.delay), millis(l.jitter)
 	for _, name := range names {
-		plan := lab.Plan{Scenario: name, Ways: []lab.Way{{Name: "ours", Policy: "ours"}}, Seeds: lab.Seeds(l.seed, l.seeds), Parallel: l.parallel, Network: l.network}
+		plan := lab.Plan{Scenario: name, Variants: []lab.Variant{{Name: "ours", Policy: "ours"}}, Seeds: lab.ConsecutiveSeeds(l.seed, l.seeds), Parallel: l.parallel, Network: l.network}
 		rows, err := plan.Run(ctx)
 		if err != nil {
 			return b.String(), 0, err
 		}
-		e := lab.Of(lab.Values(rows, "ours", "credit"))
-		half := max(1.96*e.Deviation*math.Sqrt(1+1/float64(e.N))*1.02, leeway)
-		calls, dismissed := lab.Of(lab.Values(rows, "ours", "calls")), lab.Of(lab.Values(rows, "ours", "dismissed"))
-		var credit, called, back, verdict []string
+		e := lab.EstimateMean(lab.Values(rows, "ours", "credit"))
+		half := max(1.96*e.Deviation*math.Sqrt(1+1/float64(e.N))*1.02, minHalfWidth)
+		calls, dismissed := lab.EstimateMean(lab.Values(rows, "ours", "calls")), lab.EstimateMean(lab.Values(rows, "ours", "dismissed"))
+		var creditMeasured, callsMeasured, dismissedMeasured, verdict []string
 		err = each(tries, tries, func(i int) (*trial.Result, error) {
 			s, err := scenario.Load(name)
 			if err != nil {
@@ -44,12 +44,12 @@
 			return trial.Run(ctx, trial.Options{Scenario: s, Start: trial.Serve(program, "info")})
 		}, func(r *trial.Result) error {
 			asked := float64(max(r.All.Asked, 1))
-			credit = append(credit, fmt.Sprintf("%.4f", r.All.Credit))
-			called = append(called, fmt.Sprintf("%.3f", float64(r.Calls)/asked))
-			back = append(back, fmt.Sprintf("%.3f", float64(r.Dismissed)/asked))
-			all++
+			creditMeasured = append(creditMeasured, fmt.Sprintf("%.4f", r.All.Credit))
+			callsMeasured = append(callsMeasured, fmt.Sprintf("%.3f", float64(r.Calls)/asked))
+			dismissedMeasured = append(dismissedMeasured, fmt.Sprintf("%.3f", float64(r.Dismissed)/asked))
+			total++
 			if math.Abs(r.All.Credit-e.Mean) <= half {
-				good++
+				within++
 				verdict = append(verdict, "yes")
 			} else {
 				verdict = append(verdict, "**no**")
@@ -59,8 +59,8 @@
 		if err != nil {
 			return b.String(), 0, err
 		}
-		fmt.Fprintf(&b, "| %s | %.4f ± %.4f | ± %.4f | %s | %.3f | %s | %.3f | %s | %s |\n", name, e.Mean, e.Half(), half, strings.Join(credit, ", "),
-			calls.Mean, strings.Join(called, ", "), dismissed.Mean, strings.Join(back, ", "), strings.Join(verdict, ", "))
+		fmt.Fprintf(&b, "| %s | %.4f ± %.4f | ± %.4f | %s | %.3f | %s | %.3f | %s | %s |\n", name, e.Mean, e.HalfWidth(), half, strings.Join(creditMeasured, ", "),
+			calls.Mean, strings.Join(callsMeasured, ", "), dismissed.Mean, strings.Join(dismissedMeasured, ", "), strings.Join(verdict, ", "))
 	}
-	return b.String(), float64(good) / float64(max(all, 1)), nil
+	return b.String(), float64(within) / float64(max(total, 1)), nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,44 +14,44 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The interval of a small sample, by a table of Student's t: 2.776 at four degrees of freedom.
+// Checks the interval of a small sample against a table of Student's t distribution: 2.776 at four degrees of freedom.
 func TestEstimate(t *testing.T) {
-	e := Of([]float64{1, 2, 3, 4, 5})
-	if half := 2.776 * math.Sqrt(2.5/5); e.Mean != 3 || math.Abs(e.Half()-half) > 0.001 {
-		t.Errorf("%v, half %v", e, e.Half())
+	e := EstimateMean([]float64{1, 2, 3, 4, 5})
+	if half := 2.776 * math.Sqrt(2.5/5); e.Mean != 3 || math.Abs(e.HalfWidth()-half) > 0.001 {
+		t.Errorf("estimate %v, half width %v", e, e.HalfWidth())
 	}
-	if d := Difference([]float64{1, 5, 9}, []float64{1.1, 5.1, 9.11}); !d.Sure() || d.Mean < 0.1 || d.Mean > 0.11 {
-		t.Errorf("pairs that all grow: %v", d)
+	if d := PairedDifference([]float64{1, 5, 9}, []float64{1.1, 5.1, 9.11}); !d.ExcludesZero() || d.Mean < 0.1 || d.Mean > 0.11 {
+		t.Errorf("pairs that all increase: difference %v", d)
 	}
-	if one := Of([]float64{1}); one.Sure() || !math.IsInf(one.High, 1) {
-		t.Errorf("one value tells %v", one)
+	if one := EstimateMean([]float64{1}); one.ExcludesZero() || !math.IsInf(one.High, 1) {
+		t.Errorf("one value gives the estimate %v", one)
 	}
-	low, high := Bootstrap([]float64{1, 2, 3, 4, 5, 6, 7, 8, 9}, Median, 1)
+	low, high := BootstrapInterval([]float64{1, 2, 3, 4, 5, 6, 7, 8, 9}, Median, 1)
 	if low < 1 || low > 4 || high < 6 || high > 9 {
-		t.Errorf("median from %v to %v", low, high)
+		t.Errorf("median between %v and %v", low, high)
 	}
 }
 
-func TestWays(t *testing.T) {
+func TestParseVariant(t *testing.T) {
 	for text, want := range map[string]string{
-		"sending.slots":           "no key=value",
-		"slots=3":                 "right would be policy=NAME",
+		"sending.slots":           "expected key=value, found",
+		"slots=3":                 "expected policy=NAME",
 		"sending.slots=-3":        "out of range",
 		"grade.nothing.quoted=1s": `no [[grade]] has the name "nothing"`,
-		"gateway.mean=4ms":        "right would be gateway.NAME.key",
-		"traffic.rate.more=4":     "right would be traffic.key",
+		"gateway.mean=4ms":        "expected gateway.NAME.key",
+		"traffic.rate.more=4":     "expected traffic.key",
 		"policy=nothing":          "no policy",
 		"file=nothing.toml":       "no such file",
 	} {
-		w, err := ParseWay(text)
+		w, err := ParseVariant(text)
 		if err == nil {
-			_, err = Plan{Scenario: "calm", Ways: []Way{w}, Seeds: Seeds(1, 1)}.Run(context.Background())
+			_, err = Plan{Scenario: "calm", Variants: []Variant{w}, Seeds: ConsecutiveSeeds(1, 1)}.Run(context.Background())
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	w, err := ParseWay("sending.slots=7,grade.dispatch.quoted=900ms,gateway.*.mean=3ms,traffic.rate=40/s")
+	w, err := ParseVariant("sending.slots=7,grade.dispatch.quoted=900ms,gateway.*.mean=3ms,traffic.rate=40/s")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestSweepWays(t *testing.T) {
+func TestSweepVariants(t *testing.T) {
 	slots, err := ParseRange("sending.slots=10,20")
 	if err != nil {
 		t.Fatal(err)
@@ -75,20 +75,21 @@
 		t.Fatalf("%+v %v", rate, err)
 	}
 	trips, _ := ParseRange("sending.trips=2,4")
-	ways, err := Grid(Way{Name: "ours"}, []Range{slots, trips})
+	variants, err := Grid(Variant{Name: "ours"}, []Range{slots, trips})
 	var names []string
-	for _, w := range ways {
+	for _, w := range variants {
 		names = append(names, w.Name)
 	}
-	if diff := cmp.Diff([]string{"sending.slots=10,sending.trips=2", "sending.slots=10,sending.trips=4", "sending.slots=20,sending.trips=2",
+	if diff := cmp.Diff([]string{"sending.slots=10,sending.trips=2", "sending.slots=10,sending.trips=4",
+		"sending.slots=20,sending.trips=2",
 		"sending.slots=20,sending.trips=4"}, names); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
-	if _, err := Grid(Way{}, []Range{rate}); err == nil {
-		t.Error("a span in a grid is taken")
+	if _, err := Grid(Variant{}, []Range{rate}); err == nil {
+		t.Error("a grid accepts an interval")
 	}
 	parts := map[int]int{}
-	for _, w := range Hypercube(Way{}, []Range{rate}, 8, 1) {
+	for _, w := range Hypercube(Variant{}, []Range{rate}, 8, 1) {
 		s, err := w.Scenario("calm", 1)
 		if err != nil {
 			t.Fatal(err)
@@ -96,20 +97,22 @@
 		parts[int((s.Traffic.Rate-100)/25)]++
 	}
 	if len(parts) != 8 {
-		t.Errorf("eight samples fall into the parts %v", parts)
+		t.Errorf("eight samples should fall into eight parts, found %v", parts)
 	}
 	for _, bad := range []string{"sending.slots", "=3", "a=3..x", "a=4..3"} {
 		if _, err := ParseRange(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("ParseRange accepts %q", bad)
 		}
 	}
 }
 
-// Rows come in one order with the same figures, however many are played at a time, and outlive being kept.
+// The order and the figures of rows don't depend on the number of parallel runs, and rows are the same after being
+// written to a file and read back.
 func TestPlan(t *testing.T) {
-	play := func(parallel int) []Row {
-		backoff, _ := ParseWay("policy=backoff")
-		rows, err := Plan{Scenario: "brief", Ways: []Way{{Name: "ours"}, backoff}, Seeds: Seeds(3, 4), Parallel: parallel}.Run(context.Background())
+	runPlan := func(parallel int) []Row {
+		backoff, _ := ParseVariant("policy=backoff")
+		rows, err := Plan{Scenario: "brief", Variants: []Variant{{Name: "ours"}, backoff},
+			Seeds: ConsecutiveSeeds(3, 4), Parallel: parallel}.Run(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -118,57 +121,59 @@
 		}
 		return rows
 	}
-	rows := play(1)
-	if diff := cmp.Diff(rows, play(4)); diff != "" {
+	rows := runPlan(1)
+	if diff := cmp.Diff(rows, runPlan(4)); diff != "" {
 		t.Error(diff)
 	}
 	path := filepath.Join(t.TempDir(), "rows.jsonl")
-	if err := Keep(path, rows[:3]); err != nil {
+	if err := AppendRows(path, rows[:3]); err != nil {
 		t.Fatal(err)
 	}
-	if err := Keep(path, rows[3:]); err != nil {
+	if err := AppendRows(path, rows[3:]); err != nil {
 		t.Fatal(err)
 	}
-	kept, err := Load(path)
+	kept, err := LoadRows(path)
 	if diff := cmp.Diff(rows, kept); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
-	if text := Compare(rows, "ours", "policy=backoff"); !strings.Contains(text, "4 seeds") || !strings.Contains(text, "| further |") {
+	if text := CompareVariants(rows, "ours", "policy=backoff"); !strings.Contains(text, "4 seeds") ||
+		!strings.Contains(text, "| further |") {
 		t.Error(text)
 	}
 	if err := os.WriteFile(path, []byte("{\"way\":\"x\"}\n{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), "rows.jsonl:2") {
-		t.Errorf("a torn line: %v", err)
+	if _, err := LoadRows(path); err == nil || !strings.Contains(err.Error(), "rows.jsonl:2") {
+		t.Errorf("an incomplete line: %v", err)
 	}
 	other := append([]Row(nil), rows...)
 	other[0].Hash = "another"
 	if _, err := CompareRows(rows, other); err == nil {
-		t.Error("rows of other settings are compared")
+		t.Error("CompareRows accepts rows of different settings")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := (Plan{Scenario: "brief", Ways: []Way{{Name: "ours"}}, Seeds: Seeds(1, 3)}).Run(ctx); !errors.Is(err, ErrEnded) {
-		t.Errorf("broken off: %v", err)
+	if _, err := (Plan{Scenario: "brief", Variants: []Variant{{Name: "ours"}}, Seeds: ConsecutiveSeeds(1, 3)}).Run(ctx); !errors.Is(err, ErrInterrupted) {
+		t.Errorf("a cancelled plan returns %v", err)
 	}
 }
 
-// What is found is shortened, stays bad, and its file plays the same again.
+// Shrinking a finding keeps enough of its badness, and the scenario file of the result gives the same run.
 func TestSearch(t *testing.T) {
-	s := Search{Base: "brief", Against: model.Oracle, Seeds: Seeds(1, 12), Parallel: 4}
+	s := Search{Base: "brief", Reference: model.Oracle, Seeds: ConsecutiveSeeds(1, 12), Parallel: 4}
 	found, err := s.Run(context.Background())
-	if err != nil || len(found) != 12 || found[0].Bad < found[11].Bad {
+	if err != nil || len(found) != 12 || found[0].Badness < found[11].Badness {
 		t.Fatalf("%v, %d found", err, len(found))
 	}
-	short, err := s.Shrink(context.Background(), found[0], 0.8)
+	shortened, err := s.Shrink(context.Background(), found[0], 0.8)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if short.Bad < 0.8*found[0].Bad || len(short.Scenario.Faults) > len(found[0].Scenario.Faults) {
-		t.Errorf("%.3f with %d faults became %.3f with %d", found[0].Bad, len(found[0].Scenario.Faults), short.Bad, len(short.Scenario.Faults))
+	if shortened.Badness < 0.8*found[0].Badness || len(shortened.Scenario.Faults) > len(found[0].Scenario.Faults) {
+		t.Errorf("%.3f with %d faults became %.3f with %d",
+			found[0].Badness, len(found[0].Scenario.Faults), shortened.Badness, len(shortened.Scenario.Faults))
 	}
-	text, err := s.Write(short, "found")
+	text, err := s.ScenarioFile(shortened, "found")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,13 +181,14 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again, err := scenario.Load(path)
+	reloaded, err := scenario.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Spans are written in whole nanoseconds: chance is the same, times differ by less than that.
-	r := model.Run(context.Background(), again, model.Options{Workers: 1})
-	if r.All.Asked != short.Ours.All.Asked || math.Abs(r.All.Credit-short.Ours.All.Credit) > 0.02 {
-		t.Errorf("credit %.4f of %d, its file gives %.4f of %d", short.Ours.All.Credit, short.Ours.All.Asked, r.All.Credit, r.All.Asked)
+	// Durations are written in whole nanoseconds: the random draws are the same, and times differ by less than that.
+	r := model.Run(context.Background(), reloaded, model.Options{Workers: 1})
+	if r.All.Asked != shortened.Ours.All.Asked || math.Abs(r.All.Credit-shortened.Ours.All.Credit) > 0.02 {
+		t.Errorf("credit %.4f of %d notices, its file gives %.4f of %d",
+			shortened.Ours.All.Credit, shortened.Ours.All.Asked, r.All.Credit, r.All.Asked)
 	}
 }
--- a/internal/lab/returns_test.go
+++ b/internal/lab/returns_test.go
@@ -8,15 +8,17 @@
 	"chuteweir.example/chuteweir/internal/audit"
 )
 
-// overloadSeeds is how many seeds of the overload scenario are played.
+// overloadSeeds is the number of seeds that the overload scenario is run with.
 const overloadSeeds = 30
 
-func TestReturnOfADestinationWithMoreHeldThanItTakesIsNotPushedOver(t *testing.T) {
-	ours, err := ParseWay("")
+// Guards against overloading a destination that recovers while the senders hold more notices for it than it can
+// process at once.
+func TestRecoveringDestinationWithLargeBacklogIsNotOverloaded(t *testing.T) {
+	ours, err := ParseVariant("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := Plan{Scenario: "../../docs/lab/overload.toml", Ways: []Way{ours}, Seeds: Seeds(1, overloadSeeds),
+	plan := Plan{Scenario: "../../docs/lab/overload.toml", Variants: []Variant{ours}, Seeds: ConsecutiveSeeds(1, overloadSeeds),
 		Parallel: runtime.GOMAXPROCS(0), Record: true}
 	rows, err := plan.Run(context.Background())
 	if err != nil {
--- a/internal/lab/rows.go
+++ b/internal/lab/rows.go
@@ -20,16 +20,18 @@
 	"chuteweir.example/chuteweir/internal/model"
 )
 
-// Figure is something that runs are measured by.
+// Figure is a quantity that is computed from the result of each run.
 type Figure struct {
-	Name string
-	Of   func(*model.Result) float64
-	Less bool // less is better
+	Name          string
+	Value         func(*model.Result) float64
+	LowerIsBetter bool
 }
 
-func each(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
+// ratio returns count/total, with a total of 0 taken as 1.
+func ratio(count, total int) float64 { return float64(count) / float64(max(total, 1)) }
 
-// Figures are those that rows hold, in the order in which tables tell them.
+// Figures lists the figures that rows contain, in the order in which tables show them. Those that divide a count by
+// All.Asked are per notice that clients submitted.
 var Figures = []Figure{
 	{"credit", func(r *model.Result) float64 { return r.All.Credit }, false},
 	{"worst grade", func(r *model.Result) float64 {
@@ -41,36 +43,37 @@
 		}
 		return worst
 	}, false},
-	{"delivered", func(r *model.Result) float64 { return each(r.All.Delivered, r.All.Asked) }, false},
+	{"delivered", func(r *model.Result) float64 { return ratio(r.All.Delivered, r.All.Asked) }, false},
 	{"p50 ms", func(r *model.Result) float64 { return r.All.Delivery.P50 }, true},
 	{"p99 ms", func(r *model.Result) float64 { return r.All.Delivery.P99 }, true},
-	{"calls", func(r *model.Result) float64 { return each(r.Calls, r.All.Asked) }, true},
-	{"refused calls", func(r *model.Result) float64 { return each(r.CallsFull, r.All.Asked) }, true},
-	{"further", func(r *model.Result) float64 { return each(r.Further, r.All.Asked) }, true},
-	{"refused", func(r *model.Result) float64 { return each(r.Refused, r.All.Asked) }, true},
-	{"dismissed", func(r *model.Result) float64 { return each(r.Dismissed, r.All.Asked) }, true},
-	{"broken off", func(r *model.Result) float64 { return each(r.BrokenOff, r.All.Asked) }, true},
+	{"calls", func(r *model.Result) float64 { return ratio(r.Calls, r.All.Asked) }, true},
+	{"refused calls", func(r *model.Result) float64 { return ratio(r.CallsFull, r.All.Asked) }, true},
+	{"further", func(r *model.Result) float64 { return ratio(r.Further, r.All.Asked) }, true},
+	{"refused", func(r *model.Result) float64 { return ratio(r.Refused, r.All.Asked) }, true},
+	{"dismissed", func(r *model.Result) float64 { return ratio(r.Dismissed, r.All.Asked) }, true},
+	{"broken off", func(r *model.Result) float64 { return ratio(r.BrokenOff, r.All.Asked) }, true},
 	{"second effects", func(r *model.Result) float64 { return float64(r.Second) }, true},
 	{"pushed over", func(r *model.Result) float64 { return float64(r.Falls) }, true},
 	{"breaches", func(r *model.Result) float64 { return float64(len(r.Breaches)) }, true},
 }
 
-// Row is one run, as it is kept.
+// Row is the record of one run, stored as a line of JSON.
 type Row struct {
-	Way      string             `json:"way"`
+	Variant  string             `json:"way"`
 	Scenario string             `json:"scenario"`
-	Hash     string             `json:"hash"` // of the scenario's text with the way's settings
+	Hash     string             `json:"hash"` // of the scenario file's text with the variant's settings applied
 	Seed     uint64             `json:"seed"`
-	Revision string             `json:"revision"` // of the program
+	Revision string             `json:"revision"` // of the program's source
 	Command  string             `json:"command,omitempty"`
 	Figures  map[string]float64 `json:"figures"`
 
 	Result *model.Result `json:"-"`
 }
 
-// Revision is the revision that this program was built from, with a + if it was changed since.
+// Revision returns the source revision that this program was built from, with a + if the source had uncommitted
+// changes.
 func Revision() string {
-	revision, changed := "unknown", ""
+	revision, modified := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
 			switch s.Key {
@@ -78,70 +81,71 @@
 				revision = s.Value[:min(12, len(s.Value))]
 			case "vcs.modified":
 				if s.Value == "true" {
-					changed = "+"
+					modified = "+"
 				}
 			}
 		}
 	}
-	return revision + changed
+	return revision + modified
 }
 
-// Plan is what is to be played.
+// Plan describes a series of runs: each variant of a scenario with each seed.
 type Plan struct {
 	Scenario string
-	Ways     []Way
+	Variants []Variant
 	Seeds    []uint64
 	Parallel int
-	Record   bool // audit each run
+	Record   bool // check the six rules on each run
 	Network  model.Network
 	Command  string
-	Done     func(Row) // told of each run, in the order of ways and seeds
+	OnRow    func(Row) // called for each run, by seed and then by variant
 }
 
-// ErrEnded says that a plan was broken off; what is done is kept.
-var ErrEnded = errors.New("broken off: the runs that were done are kept")
+// ErrInterrupted reports that a plan or search was interrupted. The runs that completed before are kept.
+var ErrInterrupted = errors.New("interrupted: the completed runs are kept")
 
-// ended is ErrEnded with its cause, if that is not a signal's.
-func ended(ctx context.Context) error {
-	if why := context.Cause(ctx); why != nil && !errors.Is(why, context.Canceled) {
-		return fmt.Errorf("%w: %w", ErrEnded, why)
+// interrupted returns ErrInterrupted, wrapped with the context's cause unless that is a plain cancellation, as by a
+// signal.
+func interrupted(ctx context.Context) error {
+	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
+		return fmt.Errorf("%w: %w", ErrInterrupted, cause)
 	}
-	return ErrEnded
+	return ErrInterrupted
 }
 
-// Run plays a plan: ways times seeds, some at a time, each on one processor. Its rows come in the same order, and with the
-// same figures, however many are played at a time.
+// Run runs each variant with each seed, up to Parallel runs at a time, each on one processor. The order of the rows
+// and their figures don't depend on Parallel. If ctx is cancelled, Run returns the rows so far and ErrInterrupted.
 func (p Plan) Run(ctx context.Context) ([]Row, error) {
 	type job struct {
-		way  Way
-		seed uint64
-		row  Row
-		err  error
-		done chan struct{}
+		variant Variant
+		seed    uint64
+		row     Row
+		err     error
+		done    chan struct{}
 	}
 	var jobs []*job
 	for _, seed := range p.Seeds {
-		for _, w := range p.Ways {
-			jobs = append(jobs, &job{way: w, seed: seed, done: make(chan struct{})})
+		for _, w := range p.Variants {
+			jobs = append(jobs, &job{variant: w, seed: seed, done: make(chan struct{})})
 		}
 	}
-	next, revision := make(chan *job), Revision()
+	queue, revision := make(chan *job), Revision()
 	var workers sync.WaitGroup
 	for range max(p.Parallel, 1) {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			for j := range next {
-				j.row, j.err = p.one(ctx, j.way, j.seed, revision)
+			for j := range queue {
+				j.row, j.err = p.runOne(ctx, j.variant, j.seed, revision)
 				close(j.done)
 			}
 		}()
 	}
 	go func() {
-		defer close(next)
+		defer close(queue)
 		for _, j := range jobs {
 			select {
-			case next <- j:
+			case queue <- j:
 			case <-ctx.Done():
 				return
 			}
@@ -153,71 +157,73 @@
 		case <-j.done:
 		case <-ctx.Done():
 			workers.Wait()
-			return rows, ended(ctx)
+			return rows, interrupted(ctx)
 		}
 		if j.err != nil {
 			return rows, j.err
 		}
 		if j.row.Result.Broken {
-			return rows, ended(ctx)
+			return rows, interrupted(ctx)
 		}
 		rows = append(rows, j.row)
-		if p.Done != nil {
-			p.Done(j.row)
+		if p.OnRow != nil {
+			p.OnRow(j.row)
 		}
 	}
 	return rows, nil
 }
 
-func (p Plan) one(ctx context.Context, w Way, seed uint64, revision string) (Row, error) {
-	s, err := w.Scenario(p.Scenario, seed)
+// runOne runs one variant with one seed. Figures that are NaN are left out of the row.
+func (p Plan) runOne(ctx context.Context, variant Variant, seed uint64, revision string) (Row, error) {
+	s, err := variant.Scenario(p.Scenario, seed)
 	if err != nil {
 		return Row{}, err
 	}
-	text, err := w.Text(p.Scenario)
+	text, err := variant.Text(p.Scenario)
 	if err != nil {
 		return Row{}, err
 	}
-	policy, err := model.PolicyOf(w.Policy, s)
+	policy, err := model.PolicyOf(variant.Policy, s)
 	if err != nil {
 		return Row{}, err
 	}
 	r := model.Run(ctx, s, model.Options{Policy: policy, Workers: 1, Record: p.Record, Network: p.Network})
-	sum := sha256.Sum256(text)
-	row := Row{Way: w.Name, Scenario: s.Name, Hash: hex.EncodeToString(sum[:6]), Seed: seed, Revision: revision, Command: p.Command,
+	digest := sha256.Sum256(text)
+	row := Row{Variant: variant.Name, Scenario: s.Name, Hash: hex.EncodeToString(digest[:6]), Seed: seed,
+		Revision: revision, Command: p.Command,
 		Figures: map[string]float64{}, Result: r}
 	for _, f := range Figures {
-		if x := f.Of(r); x == x {
+		if x := f.Value(r); x == x {
 			row.Figures[f.Name] = x
 		}
 	}
 	return row, nil
 }
 
-// Keep adds rows to a file, a line each.
-func Keep(path string, rows []Row) error {
+// AppendRows appends rows to a file, one line of JSON each.
+func AppendRows(path string, rows []Row) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return fmt.Errorf("keeping rows: %w", err)
+		return fmt.Errorf("appending rows: %w", err)
 	}
 	defer f.Close()
 	out := json.NewEncoder(f)
 	for _, r := range rows {
 		if err := out.Encode(r); err != nil {
-			return fmt.Errorf("keeping rows: %w", err)
+			return fmt.Errorf("appending rows: %w", err)
 		}
 	}
 	return f.Close()
 }
 
-// Load reads rows that were kept.
-func Load(path string) ([]Row, error) {
+// LoadRows reads a file that AppendRows wrote.
+func LoadRows(path string) ([]Row, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil, fmt.Errorf("rows: no file %s: lab run --rows writes one", path)
+			return nil, fmt.Errorf("rows file %s does not exist: lab run --rows writes one", path)
 		}
-		return nil, fmt.Errorf("rows: %w", err)
+		return nil, fmt.Errorf("reading rows: %w", err)
 	}
 	defer f.Close()
 	var rows []Row
@@ -227,7 +233,7 @@
 		if len(bytes.TrimSpace(text)) > 0 {
 			var r Row
 			if err := json.Unmarshal(text, &r); err != nil {
-				return nil, fmt.Errorf("%s:%d: %w", path, line, err)
+				return nil, fmt.Errorf("%s:%d: expected a row in JSON: %w", path, line, err)
 			}
 			rows = append(rows, r)
 		}
@@ -235,21 +241,21 @@
 			return rows, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("rows: %w", err)
+			return nil, fmt.Errorf("reading rows: %w", err)
 		}
 	}
 }
 
-// Values are a way's figure by seed, in the order of the seeds.
-func Values(rows []Row, way, figure string) (values []float64) {
-	var own []Row
+// Values returns a figure of a variant's runs, ordered by seed. Rows without the figure are left out.
+func Values(rows []Row, variant, figure string) (values []float64) {
+	var selected []Row
 	for _, r := range rows {
-		if r.Way == way {
-			own = append(own, r)
+		if r.Variant == variant {
+			selected = append(selected, r)
 		}
 	}
-	slices.SortStableFunc(own, func(a, b Row) int { return cmp.Compare(a.Seed, b.Seed) })
-	for _, r := range own {
+	slices.SortStableFunc(selected, func(a, b Row) int { return cmp.Compare(a.Seed, b.Seed) })
+	for _, r := range selected {
 		if x, ok := r.Figures[figure]; ok {
 			values = append(values, x)
 		}
@@ -257,20 +263,20 @@
 	return values
 }
 
-// Ways names the ways of rows in their order.
-func Ways(rows []Row) (names []string) {
+// VariantNames returns the names of the variants in rows, in the order of their first rows.
+func VariantNames(rows []Row) (names []string) {
 	for _, r := range rows {
-		if !slices.Contains(names, r.Way) {
-			names = append(names, r.Way)
+		if !slices.Contains(names, r.Variant) {
+			names = append(names, r.Variant)
 		}
 	}
 	return names
 }
 
-// Seeds are so many seeds from one on.
-func Seeds(from uint64, count int) (seeds []uint64) {
+// ConsecutiveSeeds returns count seeds: first, first+1 and so on.
+func ConsecutiveSeeds(first uint64, count int) (seeds []uint64) {
 	for i := range count {
-		seeds = append(seeds, from+uint64(i))
+		seeds = append(seeds, first+uint64(i))
 	}
 	return seeds
 }
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -14,110 +14,115 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Search looks for the scenario on which ours does worst: troubles are drawn by seeds into a base scenario, and the worst
-// found is shortened for as long as it stays bad.
+// Search looks for the scenario on which the policy under test does worst. Each seed draws random faults into a base
+// scenario; Shrink then simplifies the worst scenario found while its badness remains.
 type Search struct {
-	Base     string
-	Way      Way
-	Against  string // what ours is held against; oracle: what is lost by not knowing, a breach: see Breaches
-	Breaches bool   // looks for broken rules in place of lost credit
-	Seeds    []uint64
-	Parallel int
-	Done     func(Found)
+	Base           string
+	Variant        Variant
+	Reference      string // policy to compare with; the oracle shows the credit lost by not knowing of faults
+	SearchBreaches bool   // look for rule breaches instead of lost credit
+	Seeds          []uint64
+	Parallel       int
+	OnFinding      func(Finding)
 }
 
-// Found is a scenario with how bad it is: the credit lost against the other policy, or the breaches.
-type Found struct {
-	Seed     uint64
-	Bad      float64
-	Ours     *model.Result
-	Other    *model.Result
-	Scenario *scenario.Scenario
+// Finding is a scenario with its badness: the credit lost against the reference policy, or the number of rule
+// breaches.
+type Finding struct {
+	Seed      uint64
+	Badness   float64
+	Ours      *model.Result
+	Reference *model.Result
+	Scenario  *scenario.Scenario
 }
 
-// evaluate plays a scenario.
-func (s Search) evaluate(ctx context.Context, sc *scenario.Scenario) (Found, error) {
-	f := Found{Seed: sc.Seed, Scenario: sc}
-	policy, err := model.PolicyOf(s.Way.Policy, sc)
+// evaluate runs a scenario and computes its badness.
+func (s Search) evaluate(ctx context.Context, sc *scenario.Scenario) (Finding, error) {
+	f := Finding{Seed: sc.Seed, Scenario: sc}
+	policy, err := model.PolicyOf(s.Variant.Policy, sc)
 	if err != nil {
 		return f, err
 	}
-	f.Ours = model.Run(ctx, sc, model.Options{Policy: policy, Workers: 1, Record: s.Breaches})
-	if s.Breaches {
-		f.Bad = float64(len(f.Ours.Breaches))
+	f.Ours = model.Run(ctx, sc, model.Options{Policy: policy, Workers: 1, Record: s.SearchBreaches})
+	if s.SearchBreaches {
+		f.Badness = float64(len(f.Ours.Breaches))
 		return f, nil
 	}
-	other, err := model.PolicyOf(s.Against, sc)
+	reference, err := model.PolicyOf(s.Reference, sc)
 	if err != nil {
 		return f, err
 	}
-	f.Other = model.Run(ctx, sc, model.Options{Policy: other, Workers: 1})
-	f.Bad = f.Other.All.Credit - f.Ours.All.Credit
+	f.Reference = model.Run(ctx, sc, model.Options{Policy: reference, Workers: 1})
+	f.Badness = f.Reference.All.Credit - f.Ours.All.Credit
 	return f, nil
 }
 
-// Run plays all seeds and returns them, the worst first.
-func (s Search) Run(ctx context.Context) ([]Found, error) {
-	found, errs := make([]Found, len(s.Seeds)), make([]error, len(s.Seeds))
-	free := make(chan struct{}, max(s.Parallel, 1))
-	var all sync.WaitGroup
+// Run evaluates the scenarios of all seeds and returns them, the worst first. If ctx is cancelled, it returns those
+// that completed and ErrInterrupted.
+func (s Search) Run(ctx context.Context) ([]Finding, error) {
+	findings, errs := make([]Finding, len(s.Seeds)), make([]error, len(s.Seeds))
+	slots := make(chan struct{}, max(s.Parallel, 1))
+	var running sync.WaitGroup
 	var mu sync.Mutex
 	for i, seed := range s.Seeds {
-		free <- struct{}{}
+		slots <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer func() { <-free; all.Done() }()
-			way := s.Way
-			way.Mix = true
-			sc, err := way.Scenario(s.Base, seed)
+			defer func() { <-slots; running.Done() }()
+			variant := s.Variant
+			variant.Mix = true
+			sc, err := variant.Scenario(s.Base, seed)
 			if err == nil {
-				found[i], err = s.evaluate(ctx, sc)
+				findings[i], err = s.evaluate(ctx, sc)
 			}
-			if errs[i] = err; err == nil && s.Done != nil {
+			if errs[i] = err; err == nil && s.OnFinding != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				s.Done(found[i])
+				s.OnFinding(findings[i])
 			}
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
 		}
 	}
-	found = slices.DeleteFunc(found, func(f Found) bool { return f.Ours == nil || f.Ours.Broken })
-	slices.SortStableFunc(found, func(a, b Found) int { return cmp.Or(cmp.Compare(b.Bad, a.Bad), cmp.Compare(a.Seed, b.Seed)) })
+	findings = slices.DeleteFunc(findings, func(f Finding) bool { return f.Ours == nil || f.Ours.Broken })
+	slices.SortStableFunc(findings, func(a, b Finding) int {
+		return cmp.Or(cmp.Compare(b.Badness, a.Badness), cmp.Compare(a.Seed, b.Seed))
+	})
 	if ctx.Err() != nil {
-		return found, ErrEnded
+		return findings, ErrInterrupted
 	}
-	return found, nil
+	return findings, nil
 }
 
-// Shrink takes away what the badness does not need: faults, their length, their reach, and half of the run. It stays at
-// least as bad as keep times what was found.
-func (s Search) Shrink(ctx context.Context, f Found, keep float64) (Found, error) {
-	goal := f.Bad * keep
-	try := func(change func(*scenario.Scenario) bool) (bool, error) {
+// Shrink simplifies a finding: it removes faults, halves their parts and durations, sets their shares to 1 and
+// shortens the run by a quarter at a time. It keeps each change after which the badness is at least keep times that of
+// the finding.
+func (s Search) Shrink(ctx context.Context, f Finding, keep float64) (Finding, error) {
+	minBadness := f.Badness * keep
+	tryChange := func(change func(*scenario.Scenario) bool) (bool, error) {
 		sc := *f.Scenario
 		sc.Faults = slices.Clone(sc.Faults)
 		if !change(&sc) {
 			return false, nil
 		}
-		next, err := s.evaluate(ctx, &sc)
-		if err != nil || next.Bad < goal || ctx.Err() != nil {
+		candidate, err := s.evaluate(ctx, &sc)
+		if err != nil || candidate.Badness < minBadness || ctx.Err() != nil {
 			return false, err
 		}
-		f = next
+		f = candidate
 		return true, nil
 	}
 	for round := 0; round < 4 && ctx.Err() == nil; round++ {
 		changed := false
 		step := func(change func(*scenario.Scenario) bool) error {
-			ok, err := try(change)
+			ok, err := tryChange(change)
 			changed = changed || ok
 			return err
 		}
@@ -138,9 +143,9 @@
 				func(x *scenario.Fault) bool { x.Part = x.Part / 2; return x.Part > 0.02 },
 				func(x *scenario.Fault) bool { x.For = x.For / 2; return x.For > 100 },
 				func(x *scenario.Fault) bool {
-					plain := x.Share != 1
+					reduced := x.Share != 1
 					x.Share = 1
-					return plain
+					return reduced
 				},
 			} {
 				if err := step(func(sc *scenario.Scenario) bool { return change(&sc.Faults[i]) }); err != nil {
@@ -149,12 +154,12 @@
 			}
 		}
 		err := step(func(sc *scenario.Scenario) bool {
-			last := rules.Millis(0)
+			faultsEnd := rules.Millis(0)
 			for _, x := range sc.Faults {
-				last = max(last, x.Until())
+				faultsEnd = max(faultsEnd, x.Until())
 			}
 			sc.Length = sc.Length * 3 / 4
-			return sc.Length > last && sc.Length > 1000
+			return sc.Length > faultsEnd && sc.Length > 1000
 		})
 		if err != nil {
 			return f, err
@@ -166,9 +171,9 @@
 	return f, nil
 }
 
-// Write writes a scenario that was found as a file that plays it again, by try on sockets too.
-func (s Search) Write(f Found, about string) ([]byte, error) {
-	text, err := s.Way.Text(s.Base)
+// ScenarioFile returns the scenario file (TOML) of a finding. The model and the try command (on sockets) can run it.
+func (s Search) ScenarioFile(f Finding, about string) ([]byte, error) {
+	text, err := s.Variant.Text(s.Base)
 	if err != nil {
 		return nil, err
 	}
@@ -176,25 +181,26 @@
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, err
 	}
-	span := func(m rules.Millis) string { return conf.Show(conf.Span, float64(m)) }
+	formatDuration := func(m rules.Millis) string { return conf.Show(conf.Span, float64(m)) }
 	tree["name"], tree["about"], tree["seed"] = fmt.Sprintf("found-%d", f.Seed), about, int64(f.Seed)
-	tree["length"] = span(f.Scenario.Length)
+	tree["length"] = formatDuration(f.Scenario.Length)
 	var faults []any
 	for _, x := range f.Scenario.Faults {
-		one := map[string]any{"kind": x.Kind, "at": span(x.At), "for": span(x.For), "part": x.Part, "share": x.Share, "size": x.Size}
+		table := map[string]any{"kind": x.Kind, "at": formatDuration(x.At), "for": formatDuration(x.For), "part": x.Part,
+			"share": x.Share, "size": x.Size}
 		if x.Group != "" {
-			one["group"] = x.Group
+			table["group"] = x.Group
 		}
 		if x.Grade != "" {
-			one["grade"] = x.Grade
+			table["grade"] = x.Grade
 		}
 		if x.Busiest {
-			one["busiest"] = true
+			table["busiest"] = true
 		}
 		if x.Each > 0 {
-			one["each"] = span(x.Each)
+			table["each"] = formatDuration(x.Each)
 		}
-		faults = append(faults, one)
+		faults = append(faults, table)
 	}
 	delete(tree, "fault")
 	if len(faults) > 0 {
--- a/internal/lab/spec.go
+++ b/internal/lab/spec.go
@@ -12,22 +12,23 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Way is one way to play a scenario: its policy and what is set otherwise than the file says.
-type Way struct {
-	Name   string
-	Policy string
-	Set    []Setting
-	File   string // sections of this file take the place of the scenario's
-	Mix    bool   // troubles drawn by the seed take the place of the scenario's
+// Variant is a variant of a scenario: the policy to run it with and the settings that differ from the scenario file.
+type Variant struct {
+	Name     string
+	Policy   string
+	Settings []Setting
+	File     string // TOML file whose [sending], [goal], [dismissal] and [return] replace the scenario's
+	Mix      bool   // replace the scenario's faults by random ones that the seed determines
 }
 
-// Setting puts a value in place of the scenario's: sending.slots=20, or grade.dispatch.timeout=3s for the section of
-// that name.
+// Setting overrides a value of a scenario file. The key sending.slots means slots in [sending], grade.dispatch.timeout
+// means timeout in the [[grade]] named dispatch, and top.KEY a key outside all sections.
 type Setting struct{ Key, Value string }
 
-// ParseWay reads a way: parts with commas between, each policy=NAME, file=PATH or section.key=value.
-func ParseWay(text string) (Way, error) {
-	w := Way{Name: text, Policy: "ours"}
+// ParseVariant parses a variant: parts separated by commas, each policy=NAME, file=PATH, mix=true or
+// section.key=value. An empty text means the scenario as its file has it, with the policy ours.
+func ParseVariant(text string) (Variant, error) {
+	w := Variant{Name: text, Policy: "ours"}
 	if text == "" {
 		w.Name = "ours"
 		return w, nil
@@ -36,31 +37,32 @@
 		key, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		switch {
 		case !found:
-			return w, fmt.Errorf("way %q: %q is no key=value", text, part)
+			return w, fmt.Errorf("variant %q: expected key=value, found %q", text, part)
 		case key == "policy":
 			w.Policy = value
 		case key == "file":
 			w.File = value
 		case strings.Contains(key, "."):
-			w.Set = append(w.Set, Setting{key, value})
+			w.Settings = append(w.Settings, Setting{key, value})
 		case key == "mix":
 			w.Mix = value == "true"
 		default:
-			return w, fmt.Errorf("way %q: %q: right would be policy=NAME, file=PATH, mix=true or section.key=value", text, part)
+			return w, fmt.Errorf("variant %q: expected policy=NAME, file=PATH, mix=true or section.key=value, found %q",
+				text, part)
 		}
 	}
 	return w, nil
 }
 
-// Scenario makes the scenario of a way, checked as any file is.
-func (w Way) Scenario(name string, seed uint64) (*scenario.Scenario, error) {
+// Scenario returns the scenario with the variant's settings and the seed, validated like any scenario file.
+func (w Variant) Scenario(name string, seed uint64) (*scenario.Scenario, error) {
 	text, err := w.Text(name)
 	if err != nil {
 		return nil, err
 	}
 	s, faults := scenario.Read(name, text)
 	if err := faults.Or(); err != nil {
-		return nil, fmt.Errorf("way %s: %w", w.Name, err)
+		return nil, fmt.Errorf("variant %s: %w", w.Name, err)
 	}
 	s.Seed = seed
 	if w.Mix {
@@ -69,10 +71,10 @@
 	return s, nil
 }
 
-// Text is the scenario's file with the way's settings in it.
-func (w Way) Text(name string) ([]byte, error) {
+// Text returns the text of the scenario file with the variant's settings applied.
+func (w Variant) Text(name string) ([]byte, error) {
 	text, err := scenario.Text(name)
-	if err != nil || len(w.Set) == 0 && w.File == "" {
+	if err != nil || len(w.Settings) == 0 && w.File == "" {
 		return text, err
 	}
 	var tree map[string]any
@@ -80,13 +82,13 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if w.File != "" {
-		other, err := os.ReadFile(w.File)
+		file, err := os.ReadFile(w.File)
 		if err != nil {
-			return nil, fmt.Errorf("way %s: %w", w.Name, err)
+			return nil, fmt.Errorf("variant %s: %w", w.Name, err)
 		}
 		var sections map[string]any
-		if err := toml.Unmarshal(other, &sections); err != nil {
-			return nil, fmt.Errorf("way %s: %s: %w", w.Name, w.File, err)
+		if err := toml.Unmarshal(file, &sections); err != nil {
+			return nil, fmt.Errorf("variant %s: %s: %w", w.Name, w.File, err)
 		}
 		for _, key := range []string{"sending", "goal", "dismissal", "return"} {
 			if section, ok := sections[key]; ok {
@@ -94,17 +96,17 @@
 			}
 		}
 	}
-	for _, s := range w.Set {
-		if err := s.put(tree); err != nil {
-			return nil, fmt.Errorf("way %s: %w", w.Name, err)
+	for _, s := range w.Settings {
+		if err := s.apply(tree); err != nil {
+			return nil, fmt.Errorf("variant %s: %w", w.Name, err)
 		}
 	}
 	return toml.Marshal(tree)
 }
 
-// put puts the value into a file's tree.
-func (s Setting) put(tree map[string]any) error {
-	parts := strings.Split(s.Key, ".")
+// apply sets the value in a parsed scenario file. It parses the value as an integer, a float or a boolean if possible.
+func (s Setting) apply(tree map[string]any) error {
+	path := strings.Split(s.Key, ".")
 	var value any = s.Value
 	if n, err := strconv.ParseInt(s.Value, 10, 64); err == nil {
 		value = n
@@ -113,95 +115,97 @@
 	} else if b, err := strconv.ParseBool(s.Value); err == nil {
 		value = b
 	}
-	if len(parts) == 2 && parts[0] == "top" {
-		tree[parts[1]] = value
+	if len(path) == 2 && path[0] == "top" {
+		tree[path[1]] = value
 		return nil
 	}
-	switch section := tree[parts[0]].(type) {
+	switch section := tree[path[0]].(type) {
 	case nil:
-		if len(parts) != 2 {
-			return fmt.Errorf("%s: the scenario has no [[%s]]", s.Key, parts[0])
+		if len(path) != 2 {
+			return fmt.Errorf("%s: the scenario has no section [[%s]]", s.Key, path[0])
 		}
-		tree[parts[0]] = map[string]any{parts[1]: value}
+		tree[path[0]] = map[string]any{path[1]: value}
 	case map[string]any:
-		if len(parts) != 2 {
-			return fmt.Errorf("%s: right would be %s.key", s.Key, parts[0])
+		if len(path) != 2 {
+			return fmt.Errorf("%s: expected %s.key", s.Key, path[0])
 		}
-		section[parts[1]] = value
+		section[path[1]] = value
 	case []any:
-		if len(parts) != 3 {
-			return fmt.Errorf("%s: right would be %s.NAME.key, or %s.*.key for all", s.Key, parts[0], parts[0])
+		if len(path) != 3 {
+			return fmt.Errorf("%s: expected %s.NAME.key, or %s.*.key for all", s.Key, path[0], path[0])
 		}
-		put := false
-		for _, one := range section {
-			if m, ok := one.(map[string]any); ok && (parts[1] == "*" || m["name"] == parts[1] || m["kind"] == parts[1]) {
-				m[parts[2]], put = value, true
+		found := false
+		for _, element := range section {
+			if table, ok := element.(map[string]any); ok && (path[1] == "*" || table["name"] == path[1] || table["kind"] == path[1]) {
+				table[path[2]], found = value, true
 			}
 		}
-		if !put {
-			return fmt.Errorf("%s: no [[%s]] has the name %q", s.Key, parts[0], parts[1])
+		if !found {
+			return fmt.Errorf("%s: no [[%s]] has the name %q", s.Key, path[0], path[1])
 		}
 	default:
-		return fmt.Errorf("%s: %s is no section", s.Key, parts[0])
+		return fmt.Errorf("%s: %s is not a section of the scenario", s.Key, path[0])
 	}
 	return nil
 }
 
-// Range is a parameter of a sweep: values, or from low to high.
+// Range is a parameter of a sweep: a list of values, or an interval from Low to High.
 type Range struct {
 	Key    string
 	Values []string
 	Low    float64
 	High   float64
-	Unit   string // behind the number
+	Unit   string // follows the number, as in 100/s
 }
 
-// ParseRange reads key=a,b,c or key=low..high with a unit: sending.slots=10,20,40 or traffic.rate=100..800/s.
+// ParseRange parses key=a,b,c or key=low..high with an optional unit: sending.slots=10,20,40 or
+// traffic.rate=100..800/s.
 func ParseRange(text string) (Range, error) {
 	key, rest, found := strings.Cut(text, "=")
 	r := Range{Key: key}
 	if !found || key == "" || rest == "" {
-		return r, fmt.Errorf("%q: right would be key=a,b,c or key=low..high", text)
+		return r, fmt.Errorf("expected key=a,b,c or key=low..high, found %q", text)
 	}
-	low, high, span := strings.Cut(rest, "..")
-	if !span {
+	low, high, isRange := strings.Cut(rest, "..")
+	if !isRange {
 		r.Values = strings.Split(rest, ",")
 		return r, nil
 	}
-	i := strings.LastIndexAny(high, "0123456789") + 1
-	r.Unit = high[i:]
-	var err, also error
-	r.Low, err = strconv.ParseFloat(strings.TrimSuffix(low, r.Unit), 64)
-	r.High, also = strconv.ParseFloat(high[:i], 64)
-	if err != nil || also != nil || r.High < r.Low {
-		return r, fmt.Errorf("%q: right would be two numbers, the lower first, such as %s=10..40", text, key)
+	unitStart := strings.LastIndexAny(high, "0123456789") + 1
+	r.Unit = high[unitStart:]
+	var lowErr, highErr error
+	r.Low, lowErr = strconv.ParseFloat(strings.TrimSuffix(low, r.Unit), 64)
+	r.High, highErr = strconv.ParseFloat(high[:unitStart], 64)
+	if lowErr != nil || highErr != nil || r.High < r.Low {
+		return r, fmt.Errorf("%q: expected two numbers, the lower first, such as %s=10..40", text, key)
 	}
 	return r, nil
 }
 
-// Grid is all combinations of the ranges' values.
-func Grid(base Way, ranges []Range) ([]Way, error) {
-	ways := []Way{base}
+// Grid returns variants of base with all combinations of the ranges' values.
+func Grid(base Variant, ranges []Range) ([]Variant, error) {
+	variants := []Variant{base}
 	for _, r := range ranges {
 		if len(r.Values) == 0 {
-			return nil, fmt.Errorf("%s: a grid needs values, such as %s=10,20,40; --samples takes a span", r.Key, r.Key)
+			return nil, fmt.Errorf("%s: a grid needs values, such as %s=10,20,40; an interval needs --samples", r.Key, r.Key)
 		}
-		var next []Way
-		for _, w := range ways {
+		var next []Variant
+		for _, w := range variants {
 			for _, v := range r.Values {
-				next = append(next, w.with(r.Key, v))
+				next = append(next, w.withSetting(r.Key, v))
 			}
 		}
-		ways = next
+		variants = next
 	}
-	return ways, nil
+	return variants, nil
 }
 
-func (w Way) with(key, value string) Way {
+// withSetting returns a copy of the variant with one more setting, which becomes part of its name.
+func (w Variant) withSetting(key, value string) Variant {
 	if key == "policy" {
 		w.Policy = value
 	} else {
-		w.Set = append(slices.Clone(w.Set), Setting{key, value})
+		w.Settings = append(slices.Clone(w.Settings), Setting{key, value})
 	}
 	if name := key + "=" + value; w.Name == "" || w.Name == "ours" {
 		w.Name = name
@@ -211,22 +215,23 @@
 	return w
 }
 
-// Hypercube is a Latin hypercube of samples over the ranges: of each parameter, one sample in each of as many equal parts.
-func Hypercube(base Way, ranges []Range, samples int, seed uint64) []Way {
-	draw := rand.New(rand.NewPCG(seed, 2))
-	ways := make([]Way, samples)
-	for i := range ways {
-		ways[i] = base
+// Hypercube returns variants of base that form a Latin hypercube sample of the ranges: each range is divided into as
+// many equal parts as there are samples, and each part contains one sample.
+func Hypercube(base Variant, ranges []Range, samples int, seed uint64) []Variant {
+	random := rand.New(rand.NewPCG(seed, 2))
+	variants := make([]Variant, samples)
+	for i := range variants {
+		variants[i] = base
 	}
 	for _, r := range ranges {
-		for i, part := range draw.Perm(samples) {
-			x := (float64(part) + draw.Float64()) / float64(samples)
+		for i, stratum := range random.Perm(samples) {
+			position := (float64(stratum) + random.Float64()) / float64(samples)
 			if len(r.Values) > 0 {
-				ways[i] = ways[i].with(r.Key, r.Values[int(x*float64(len(r.Values)))])
+				variants[i] = variants[i].withSetting(r.Key, r.Values[int(position*float64(len(r.Values)))])
 				continue
 			}
-			ways[i] = ways[i].with(r.Key, strconv.FormatFloat(r.Low+x*(r.High-r.Low), 'f', 3, 64)+r.Unit)
+			variants[i] = variants[i].withSetting(r.Key, strconv.FormatFloat(r.Low+position*(r.High-r.Low), 'f', 3, 64)+r.Unit)
 		}
 	}
-	return ways
+	return variants
 }
--- a/internal/lab/stats.go
+++ b/internal/lab/stats.go
@@ -1,5 +1,5 @@
-// Package lab plays scenarios in the model many times over, and says what the difference between two ways is worth,
-// with error bars. All of its figures are the model's.
+// Package lab runs scenarios in the simulation model over many seeds and compares variants of a scenario, with
+// confidence intervals. All of its figures come from the model, none from measurements on sockets.
 package lab
 
 import (
@@ -12,16 +12,17 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Estimate is a mean over seeds with its 95% interval.
+// Estimate is a mean over seeds with its 95% confidence interval.
 type Estimate struct {
 	N         int     `json:"n"`
 	Mean      float64 `json:"mean"`
 	Low, High float64
-	Deviation float64 `json:"deviation"` // of single seeds
+	Deviation float64 `json:"deviation"` // standard deviation of single seeds
 }
 
-// Of estimates a mean by Student's t. One value alone has no interval.
-func Of(values []float64) Estimate {
+// EstimateMean estimates the mean of values, with an interval by Student's t distribution. The interval of a single
+// value is infinite.
+func EstimateMean(values []float64) Estimate {
 	e := Estimate{N: len(values)}
 	if e.N == 0 {
 		e.Mean, e.Low, e.High = math.NaN(), math.NaN(), math.NaN()
@@ -37,45 +38,47 @@
 	return e
 }
 
-// Half is half of the interval's width.
-func (e Estimate) Half() float64 { return (e.High - e.Low) / 2 }
+// HalfWidth returns half of the interval's width.
+func (e Estimate) HalfWidth() float64 { return (e.High - e.Low) / 2 }
 
-// Sure tells whether the interval does not hold 0.
-func (e Estimate) Sure() bool { return e.Low > 0 || e.High < 0 }
+// ExcludesZero reports whether 0 lies outside the interval.
+func (e Estimate) ExcludesZero() bool { return e.Low > 0 || e.High < 0 }
 
+// String formats the mean, followed by plus or minus half of the interval's width if there are two values or more.
 func (e Estimate) String() string {
 	if e.N < 2 {
 		return fmt.Sprintf("%.4f", e.Mean)
 	}
-	return fmt.Sprintf("%.4f ± %.4f", e.Mean, e.Half())
+	return fmt.Sprintf("%.4f ± %.4f", e.Mean, e.HalfWidth())
 }
 
-// Difference estimates b-a over pairs that share their seeds: what both have by chance falls out.
-func Difference(a, b []float64) Estimate {
+// PairedDifference estimates the mean of b[i]-a[i]. The values of a pair come from the same seed, which cancels the
+// random variation that both share.
+func PairedDifference(a, b []float64) Estimate {
 	var differences []float64
 	for i := range min(len(a), len(b)) {
 		differences = append(differences, b[i]-a[i])
 	}
-	return Of(differences)
+	return EstimateMean(differences)
 }
 
-// Bootstrap is the 95% interval of a statistic by resampling, for figures that Student's t doesn't suit, such as
-// percentiles. Its chance comes from the seed.
-func Bootstrap(values []float64, statistic func([]float64) float64, seed uint64) (low, high float64) {
-	const rounds = 1000
-	draw := rand.New(rand.NewPCG(seed, 1))
-	sample, found := make([]float64, len(values)), make([]float64, rounds)
-	for i := range found {
+// BootstrapInterval returns the 95% confidence interval of a statistic by resampling, for statistics that Student's t
+// distribution doesn't suit, such as percentiles. The seed determines the resampling.
+func BootstrapInterval(values []float64, statistic func([]float64) float64, seed uint64) (low, high float64) {
+	const resamples = 1000
+	random := rand.New(rand.NewPCG(seed, 1))
+	sample, results := make([]float64, len(values)), make([]float64, resamples)
+	for i := range results {
 		for j := range sample {
-			sample[j] = values[draw.IntN(len(values))]
+			sample[j] = values[random.IntN(len(values))]
 		}
-		found[i] = statistic(sample)
+		results[i] = statistic(sample)
 	}
-	slices.Sort(found)
-	return stat.Quantile(0.025, stat.Empirical, found, nil), stat.Quantile(0.975, stat.Empirical, found, nil)
+	slices.Sort(results)
+	return stat.Quantile(0.025, stat.Empirical, results, nil), stat.Quantile(0.975, stat.Empirical, results, nil)
 }
 
-// Median of values.
+// Median returns the median of values, the lower of the two middle values if their number is even.
 func Median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return stat.Quantile(0.5, stat.Empirical, sorted, nil)
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// FigureNames are the names of the figures.
+// FigureNames returns the names of Figures, in their order.
 func FigureNames() (names []string) {
 	for _, f := range Figures {
 		names = append(names, f.Name)
@@ -13,33 +13,35 @@
 	return names
 }
 
-// Table is a Markdown table of rows: a line for each way, mean and 95% interval over the seeds.
-func Table(rows []Row) string {
+// SummaryTable returns a Markdown table with a line for each variant: the mean and 95% interval of each figure over
+// the seeds.
+func SummaryTable(rows []Row) string {
 	var b strings.Builder
 	names := FigureNames()
 	fmt.Fprintf(&b, "| way | seeds | %s |\n|%s\n", strings.Join(names, " | "), strings.Repeat(" --- |", len(names)+2))
-	for _, way := range Ways(rows) {
-		n := 0
+	for _, variant := range VariantNames(rows) {
+		seeds := 0
 		for _, r := range rows {
-			if r.Way == way {
-				n++
+			if r.Variant == variant {
+				seeds++
 			}
 		}
-		fmt.Fprintf(&b, "| %s | %d", way, n)
+		fmt.Fprintf(&b, "| %s | %d", variant, seeds)
 		for _, f := range names {
-			values := Values(rows, way, f)
+			values := Values(rows, variant, f)
 			if len(values) == 0 {
 				b.WriteString(" | -")
 				continue
 			}
-			fmt.Fprintf(&b, " | %s", cell(Of(values)))
+			fmt.Fprintf(&b, " | %s", formatCell(EstimateMean(values)))
 		}
 		b.WriteString(" |\n")
 	}
 	return b.String()
 }
 
-func cell(e Estimate) string {
+// formatCell formats an estimate for a table, with one decimal from 10 up and three below.
+func formatCell(e Estimate) string {
 	digits := 3
 	if e.Mean >= 10 || e.Mean <= -10 {
 		digits = 1
@@ -47,37 +49,40 @@
 	if e.N < 2 {
 		return fmt.Sprintf("%.*f", digits, e.Mean)
 	}
-	return fmt.Sprintf("%.*f ± %.*f", digits, e.Mean, digits, e.Half())
+	return fmt.Sprintf("%.*f ± %.*f", digits, e.Mean, digits, e.HalfWidth())
 }
 
-// Compare is a Markdown table of the difference between two ways over the seeds that both have.
-func Compare(rows []Row, a, b string) string {
+// CompareVariants returns a Markdown table of the differences between two variants over the seeds that both have.
+func CompareVariants(rows []Row, a, b string) string {
 	var first, second []Row
 	for _, r := range rows {
-		switch r.Way {
+		switch r.Variant {
 		case a:
 			first = append(first, r)
 		case b:
 			second = append(second, r)
 		}
 	}
-	return compare(first, second, a, b)
+	return comparisonTable(first, second, a, b)
 }
 
-// CompareRows compares the rows of two builds, over the seeds that both have; a scenario that differs is an error.
+// CompareRows returns a Markdown table of the differences between the runs of two builds over the seeds that both
+// have. Both must have run the same scenario with the same settings.
 func CompareRows(first, second []Row) (string, error) {
 	if len(first) == 0 || len(second) == 0 {
-		return "", fmt.Errorf("no rows on one side")
+		return "", fmt.Errorf("one of the two builds has no rows")
 	}
 	for _, r := range append(append([]Row(nil), first...), second...) {
 		if r.Hash != first[0].Hash {
-			return "", fmt.Errorf("seed %d of %s was played on another scenario or with other settings (%s, not %s)", r.Seed, r.Revision, r.Hash, first[0].Hash)
+			return "", fmt.Errorf("seed %d of %s ran another scenario or other settings than the first row: hash %s, expected %s",
+				r.Seed, r.Revision, r.Hash, first[0].Hash)
 		}
 	}
-	return compare(first, second, first[0].Revision, second[0].Revision), nil
+	return comparisonTable(first, second, first[0].Revision, second[0].Revision), nil
 }
 
-func compare(first, second []Row, a, b string) string {
+// comparisonTable returns a Markdown table of the figures of two sides, A and B, and their paired differences.
+func comparisonTable(first, second []Row, nameA, nameB string) string {
 	bySeed := map[uint64]Row{}
 	for _, r := range second {
 		bySeed[r.Seed] = r
@@ -89,30 +94,32 @@
 			pairs++
 		}
 	}
-	fmt.Fprintf(&out, "A: %s\nB: %s\n%d seeds, the same for both; 95%% intervals\n\n| figure | A | B | B less A | |\n| --- | --- | --- | --- | --- |\n", a, b, pairs)
+	fmt.Fprintf(&out,
+		"A: %s\nB: %s\n%d seeds, the same for both; 95%% intervals\n\n| figure | A | B | B less A | |\n| --- | --- | --- | --- | --- |\n",
+		nameA, nameB, pairs)
 	for _, f := range Figures {
-		var va, vb []float64
+		var valuesA, valuesB []float64
 		for _, r := range first {
-			o, ok := bySeed[r.Seed]
-			x, has := r.Figures[f.Name]
-			y, also := o.Figures[f.Name]
-			if ok && has && also {
-				va, vb = append(va, x), append(vb, y)
+			other, ok := bySeed[r.Seed]
+			x, xFound := r.Figures[f.Name]
+			y, yFound := other.Figures[f.Name]
+			if ok && xFound && yFound {
+				valuesA, valuesB = append(valuesA, x), append(valuesB, y)
 			}
 		}
-		if len(va) == 0 {
+		if len(valuesA) == 0 {
 			continue
 		}
-		d, verdict := Difference(va, vb), "no difference seen"
+		difference, verdict := PairedDifference(valuesA, valuesB), "no difference seen"
 		switch {
-		case len(va) < 2:
-			verdict = "one seed tells nothing"
-		case d.Sure() && (d.Mean > 0) != f.Less:
+		case len(valuesA) < 2:
+			verdict = "one seed is not enough"
+		case difference.ExcludesZero() && (difference.Mean > 0) != f.LowerIsBetter:
 			verdict = "B is better"
-		case d.Sure():
+		case difference.ExcludesZero():
 			verdict = "A is better"
 		}
-		fmt.Fprintf(&out, "| %s | %s | %s | %s | %s |\n", f.Name, cell(Of(va)), cell(Of(vb)), cell(d), verdict)
+		fmt.Fprintf(&out, "| %s | %s | %s | %s | %s |\n", f.Name, formatCell(EstimateMean(valuesA)), formatCell(EstimateMean(valuesB)), formatCell(difference), verdict)
 	}
 	return out.String()
 }
