--- a/cmd/chutelab/lab.go
+++ b/cmd/chutelab/lab.go
@@ -24,7 +24,7 @@
 	"golang.org/x/term"
 )
 
-// labFlags are what all commands of the laboratory take.
+// labFlags holds the flags that the lab's commands share.
 type labFlags struct {
 	scenario        string
 	seed            uint64
@@ -34,32 +34,34 @@
 	network         model.Network
 	delay, jitter   time.Duration
 	memory          float64
-	rowsErr         error // why rows could not be kept
+	rowsErr         error // from appending to the rows file
 }
 
+// add registers the shared flags; seeds is the default of --seeds.
 func (l *labFlags) add(c *cobra.Command, seeds int) {
 	f := c.Flags()
-	f.StringVar(&l.scenario, "scenario", "calm", "a scenario's file, or the name of one that comes with the program")
-	f.Uint64Var(&l.seed, "seed", 1, "the first seed")
-	f.IntVar(&l.seeds, "seeds", seeds, "how many seeds")
-	f.IntVar(&l.parallel, "parallel", runtime.GOMAXPROCS(0), "runs at a time; results don't depend on it")
+	f.StringVar(&l.scenario, "scenario", "calm", "scenario file, or the name of a built-in scenario")
+	f.Uint64Var(&l.seed, "seed", 1, "first seed")
+	f.IntVar(&l.seeds, "seeds", seeds, "number of seeds")
+	f.IntVar(&l.parallel, "parallel", runtime.GOMAXPROCS(0), "number of concurrent runs; the results don't depend on it")
 	f.BoolVar(&l.audit, "audit", false, "check the six rules on each run")
-	f.StringVar(&l.rows, "rows", "", "a file to add the runs to, a JSON line each")
-	f.StringVar(&l.out, "out", "", "a folder for the report and its charts")
-	f.StringVar(&l.name, "name", c.Name(), "with --out: the name of their files")
-	f.DurationVar(&l.delay, "delay", 100*time.Microsecond, "least time of a message, one way")
-	f.DurationVar(&l.jitter, "jitter", 50*time.Microsecond, "mean of what comes on top of it")
-	f.Float64Var(&l.memory, "memory", 0, "GB of memory at which to break off, keeping what is done; 0: none")
-	f.Float64Var(&l.network.Loss, "loss", 0, "share of the messages that the network must send again")
+	f.StringVar(&l.rows, "rows", "", "file to append the runs to, one line of JSON each")
+	f.StringVar(&l.out, "out", "", "directory for the report and its charts")
+	f.StringVar(&l.name, "name", c.Name(), "with --out: base name of the files")
+	f.DurationVar(&l.delay, "delay", 100*time.Microsecond, "minimum one-way network delay of a message")
+	f.DurationVar(&l.jitter, "jitter", 50*time.Microsecond, "mean of the random delay added to --delay")
+	f.Float64Var(&l.memory, "memory", 0, "memory limit in GB at which to stop and keep the completed runs; 0: no limit")
+	f.Float64Var(&l.network.Loss, "loss", 0, "share of the messages that the network loses and sends again")
 }
 
+// plan returns the plan of the flags for the variants. It writes each row and the progress as runs complete.
 func (l *labFlags) plan(variants []lab.Variant, c *cobra.Command) lab.Plan {
 	l.network.Delay, l.network.Jitter = millis(l.delay), millis(l.jitter)
 	total, done, start := len(variants)*l.seeds, 0, time.Now()
 	p := lab.Plan{Scenario: l.scenario, Variants: variants, Seeds: lab.ConsecutiveSeeds(l.seed, l.seeds), Parallel: l.parallel, Record: l.audit,
 		Network: l.network, Command: "chutelab " + strings.Join(os.Args[1:], " ")}
 	p.OnRow = func(r lab.Row) {
-		// Each row is kept as it comes: what ends the program takes none of those that are done.
+		// Each row is appended at once, so that completed runs survive if the program is stopped.
 		if l.rows != "" && l.rowsErr == nil {
 			l.rowsErr = lab.AppendRows(l.rows, []lab.Row{r})
 		}
@@ -73,7 +75,8 @@
 	return p
 }
 
-// finish keeps what was done, also of a plan that was broken off, and writes the report.
+// finish prints the report and writes it to --out, also for a plan that was interrupted. It returns an error if a run
+// broke a rule.
 func (l *labFlags) finish(out io.Writer, rows []lab.Row, runErr error, report func() (string, error)) error {
 	if l.rowsErr != nil {
 		return errors.Join(runErr, l.rowsErr)
@@ -89,11 +92,11 @@
 		fmt.Fprint(out, text)
 		if l.out != "" {
 			if err := os.MkdirAll(l.out, 0o755); err != nil {
-				return fmt.Errorf("keeping the report: %w", err)
+				return fmt.Errorf("writing the report: %w", err)
 			}
 			text = fmt.Sprintf("    chutelab %s\n\nThe model's figures, revision %s.\n\n%s", strings.Join(os.Args[1:], " "), rows[0].Revision, text)
 			if err := os.WriteFile(filepath.Join(l.out, l.name+".md"), []byte(text), 0o644); err != nil {
-				return fmt.Errorf("keeping the report: %w", err)
+				return fmt.Errorf("writing the report: %w", err)
 			}
 		}
 	}
@@ -110,15 +113,15 @@
 
 func labCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "lab", Short: "Try settings, policies and scenarios in simulated time, with error bars",
-		Long: `lab plays scenarios in the model: the sender's own decisions among simulated clients, network, gateways and platform. Its
-figures are the model's; docs/lab.md tells how far they were held against sockets. Ctrl-C keeps the runs that are done.`,
+		Use: "lab", Short: "Compare settings, policies and scenarios in simulated time, with confidence intervals",
+		Long: `lab runs scenarios in a model: the sender's own decision code with simulated clients, network, gateways and platform. All
+figures come from the model; docs/lab.md describes how they were validated on sockets. Ctrl-C keeps the completed runs.`,
 	}
 	c.AddCommand(labRun(), labCompare(), labSweep(), labSearch(), labReport(), labTruth(), labTrace())
 	return c
 }
 
-// interruptible ends the context at Ctrl-C, and where the program takes more memory than it may.
+// interruptible returns a context that is cancelled by Ctrl-C, SIGTERM, or memory use above --memory.
 func (l *labFlags) interruptible(c *cobra.Command) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	if l.memory <= 0 {
@@ -130,7 +133,7 @@
 		for ctx.Err() == nil {
 			metrics.Read(sample)
 			if used := float64(sample[0].Value.Uint64()-sample[1].Value.Uint64()) / 1e9; used > l.memory {
-				cancel(fmt.Errorf("%.1f GB of memory are taken, over --memory %g: fewer at a time (--parallel), or no --audit", used, l.memory))
+				cancel(fmt.Errorf("%.1f GB of memory are in use, over --memory %g: lower --parallel or leave out --audit", used, l.memory))
 				return
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -144,7 +147,7 @@
 	var variant string
 	var workers int
 	c := &cobra.Command{
-		Use: "run", Short: "Play one scenario over many seeds", Args: cli.Args(cobra.NoArgs),
+		Use: "run", Short: "Run one scenario over many seeds", Args: cli.Args(cobra.NoArgs),
 		Example: `  chutelab lab run --scenario mixed --seeds 100 --audit
   chutelab lab run --scenario sick-half-hang --way policy=backoff,sending.slots=20
   chutelab lab run --scenario my.toml --seeds 20 --rows before.jsonl`,
@@ -155,7 +158,7 @@
 			if err != nil {
 				return cli.Misused("%s", err)
 			}
-			if workers > 1 { // one large run on many processors
+			if workers > 1 { // a single large run on several processors
 				s, err := w.Scenario(l.scenario, l.seed)
 				if err != nil {
 					return err
@@ -191,15 +194,15 @@
 		},
 	}
 	l.add(c, 20)
-	c.Flags().StringVar(&variant, "way", "", "policy=NAME, file=PATH, mix=true, section.key=value, with commas between")
-	c.Flags().IntVar(&workers, "workers", 1, "play one seed on so many processors, and tell how fast")
+	c.Flags().StringVar(&variant, "way", "", "variant: policy=NAME, file=PATH, mix=true or section.key=value, separated by commas")
+	c.Flags().IntVar(&workers, "workers", 1, "run one seed on this many processors and print the speed")
 	return c
 }
 
-// charts draws credit over time with the faults shaded, and the breakers.
+// charts draws credit over time for each variant, with the first six faults shaded.
 func (l *labFlags) charts(rows []lab.Row) error {
 	if err := os.MkdirAll(l.out, 0o755); err != nil {
-		return fmt.Errorf("keeping the charts: %w", err)
+		return fmt.Errorf("writing the charts: %w", err)
 	}
 	s, err := scenario.Load(l.scenario)
 	if err != nil {
@@ -243,16 +246,16 @@
 	var most int
 	c := &cobra.Command{
 		Use: "compare", Short: "Compare two settings, policies or builds over the same seeds", Args: cli.Args(cobra.NoArgs),
-		Long: `compare plays both ways with the same seeds and estimates the difference of each figure over the pairs, with 95%
-intervals. With --width it adds seeds until the interval of the chosen figure is no wider to either side, or --most are
-played. Two builds are compared by the rows that each wrote: lab run --rows.`,
+		Long: `compare runs both variants with the same seeds and estimates the mean difference of each figure over the pairs, with 95%
+intervals. With --width it adds seeds until half the interval's width of the chosen figure is at most that, or --most
+seeds have run. To compare two builds, write the rows of each with lab run --rows, and pass them as --rows-a and --rows-b.`,
 		Example: `  chutelab lab compare --scenario my.toml --b sending.trips=8
   chutelab lab compare --scenario my.toml --a file=now.toml --b file=planned.toml --width 0.002
   chutelab lab compare --scenario mixed --b policy=backoff
   chutelab lab compare --rows-a before.jsonl --rows-b after.jsonl`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if (rowsA == "") != (rowsB == "") {
-				return cli.Misused("--rows-a and --rows-b go together")
+				return cli.Misused("--rows-a and --rows-b go together: only one is set")
 			}
 			if rowsA != "" {
 				first, err := lab.LoadRows(rowsA)
@@ -278,10 +281,10 @@
 				return cli.Misused("--b: %s", err)
 			}
 			if variantA.Name == variantB.Name {
-				return cli.Misused("--a and --b are the same way")
+				return cli.Misused("--a and --b are the same variant")
 			}
 			if !slices.ContainsFunc(lab.Figures, func(f lab.Figure) bool { return f.Name == figure }) {
-				return cli.Misused("--figure %q: one of %s", figure, strings.Join(lab.FigureNames(), ", "))
+				return cli.Misused("--figure %q: expected one of %s", figure, strings.Join(lab.FigureNames(), ", "))
 			}
 			var rows []lab.Row
 			for {
@@ -304,13 +307,13 @@
 	}
 	l.add(c, 30)
 	f := c.Flags()
-	f.StringVar(&a, "a", "", "the first way; empty: ours, as the scenario says")
-	f.StringVar(&b, "b", "", "the second way")
-	f.StringVar(&figure, "figure", "credit", "the figure that --width means")
-	f.Float64Var(&width, "width", 0, "play more seeds until the difference is known to plus or minus this")
-	f.IntVar(&most, "most", 400, "with --width: seeds at the most")
-	f.StringVar(&rowsA, "rows-a", "", "rows of the first build")
-	f.StringVar(&rowsB, "rows-b", "", "rows of the second build")
+	f.StringVar(&a, "a", "", "first variant; empty: the policy ours with the scenario's own settings")
+	f.StringVar(&b, "b", "", "second variant")
+	f.StringVar(&figure, "figure", "credit", "figure that --width applies to")
+	f.Float64Var(&width, "width", 0, "run more seeds until half the width of the difference's interval is at most this")
+	f.IntVar(&most, "most", 400, "with --width: maximum number of seeds")
+	f.StringVar(&rowsA, "rows-a", "", "rows file of the first build")
+	f.StringVar(&rowsB, "rows-b", "", "rows file of the second build")
 	return c
 }
 
@@ -320,12 +323,12 @@
 	var samples int
 	var variant, figure string
 	c := &cobra.Command{
-		Use: "sweep", Short: "Play a scenario over a grid or a hypercube of settings", Args: cli.Args(cobra.NoArgs),
+		Use: "sweep", Short: "Run a scenario over a grid or a Latin hypercube of settings", Args: cli.Args(cobra.NoArgs),
 		Example: `  chutelab lab sweep --scenario sick --param sending.slots=16,32,64 --param sending.trips=2,4,8
   chutelab lab sweep --scenario sick --param traffic.rate=100..900/s --param sending.slots=8..64 --samples 40`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if len(params) == 0 {
-				return cli.Misused("--param: at least one, such as sending.slots=16,32")
+				return cli.Misused("expected at least one --param, such as sending.slots=16,32")
 			}
 			base, err := lab.ParseVariant(variant)
 			if err != nil {
@@ -359,14 +362,14 @@
 		},
 	}
 	l.add(c, 10)
-	c.Flags().StringArrayVar(&params, "param", nil, "a setting with its values, or with its span for --samples")
-	c.Flags().IntVar(&samples, "samples", 0, "a Latin hypercube of so many in place of the grid")
-	c.Flags().StringVar(&variant, "way", "", "what all have in common")
-	c.Flags().StringVar(&figure, "figure", "credit", "the figure that the chart shows")
+	c.Flags().StringArrayVar(&params, "param", nil, "setting with its values, or with an interval for --samples")
+	c.Flags().IntVar(&samples, "samples", 0, "number of samples of a Latin hypercube, instead of the grid")
+	c.Flags().StringVar(&variant, "way", "", "variant that all runs are based on")
+	c.Flags().StringVar(&figure, "figure", "credit", "figure that the chart shows")
 	return c
 }
 
-// sweepChart draws a figure over the last parameter, a line for each value of the first of two.
+// sweepChart draws a figure over the last parameter. With two parameters it draws a line for each value of the first.
 func (l *labFlags) sweepChart(rows []lab.Row, ranges []lab.Range, ways []lab.Variant, figure string) error {
 	last := ranges[len(ranges)-1]
 	c := chart.Chart{Title: figure + ", " + l.scenario, X: last.Key, Y: figure, Points: true}
@@ -384,7 +387,7 @@
 		c.Lines = append(c.Lines, line)
 	}
 	if err := os.MkdirAll(l.out, 0o755); err != nil {
-		return fmt.Errorf("keeping the chart: %w", err)
+		return fmt.Errorf("writing the chart: %w", err)
 	}
 	return c.Save(filepath.Join(l.out, l.name+".svg"))
 }
@@ -395,10 +398,10 @@
 	var breaches bool
 	var keep float64
 	c := &cobra.Command{
-		Use: "search", Short: "Look for the scenario that is worst for us, and shorten it", Args: cli.Args(cobra.NoArgs),
-		Long: `search draws troubles into a scenario by many seeds, holds ours against another policy (the oracle knows every trouble as it
-begins), and shortens the worst that it finds for as long as it stays bad. With --breaches it looks for broken rules. The
-scenario is written as a file that try plays on sockets.`,
+		Use: "search", Short: "Find the scenario with the worst result and simplify it", Args: cli.Args(cobra.NoArgs),
+		Long: `search adds random faults to a scenario, others for each seed, and compares the policy under test with a reference policy
+(the oracle knows each fault as it begins). It simplifies the worst scenario found while the result stays as bad. With
+--breaches it looks for broken rules. --write writes the scenario to a file, which try can run on sockets.`,
 		Example: `  chutelab lab search --scenario brief --seeds 2000 --write worst.toml
   chutelab lab search --scenario brief --seeds 5000 --breaches --write breach.toml`,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -455,14 +458,15 @@
 	}
 	l.add(c, 200)
 	f := c.Flags()
-	f.StringVar(&variant, "way", "", "ours, with what is set otherwise")
-	f.StringVar(&reference, "against", model.Oracle, "the policy that ours is held against")
-	f.BoolVar(&breaches, "breaches", false, "look for broken rules")
-	f.Float64Var(&keep, "keep", 0.9, "how much of the badness shortening must leave")
-	f.StringVar(&write, "write", "", "a file for the scenario found")
+	f.StringVar(&variant, "way", "", "variant of the policy under test")
+	f.StringVar(&reference, "against", model.Oracle, "reference policy to compare with")
+	f.BoolVar(&breaches, "breaches", false, "look for broken rules instead of lost credit")
+	f.Float64Var(&keep, "keep", 0.9, "share of the badness that the simplified scenario must keep")
+	f.StringVar(&write, "write", "", "file to write the simplified scenario to")
 	return c
 }
 
+// formatFinding formats a finding as one line.
 func formatFinding(f lab.Finding) string {
 	if f.Reference == nil {
 		return fmt.Sprintf("seed %d: %d breaches, credit %.3f", f.Seed, len(f.Ours.Breaches), f.Ours.All.Credit)
@@ -474,7 +478,7 @@
 func labReport() *cobra.Command {
 	var against string
 	c := &cobra.Command{
-		Use: "report ROWS...", Short: "Make tables of rows that were kept", Args: cli.Args(cobra.MinimumNArgs(1)),
+		Use: "report ROWS...", Short: "Print tables of rows files", Args: cli.Args(cobra.MinimumNArgs(1)),
 		Example: `  chutelab lab report rows.jsonl
   chutelab lab report --against ours rows.jsonl`,
 		RunE: func(c *cobra.Command, files []string) error {
@@ -487,7 +491,7 @@
 				rows = append(rows, more...)
 			}
 			if len(rows) == 0 {
-				return errors.New("no rows")
+				return errors.New("the files contain no rows")
 			}
 			fmt.Fprint(c.OutOrStdout(), lab.SummaryTable(rows))
 			if against != "" {
@@ -500,7 +504,7 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&against, "against", "", "a way that all others are compared with")
+	c.Flags().StringVar(&against, "against", "", "variant to compare all others with")
 	return c
 }
 
@@ -510,16 +514,16 @@
 	var tries int
 	var names []string
 	c := &cobra.Command{
-		Use: "truth", Short: "Hold the model's predictions against runs on sockets", Args: cli.Args(cobra.NoArgs),
-		Long: `truth plays scenarios in the model over many seeds, and on loopback sockets by other seeds, and tells for each whether the
-credit measured falls within what the model predicts for a single run.`,
+		Use: "truth", Short: "Validate the model's predictions by runs on sockets", Args: cli.Args(cobra.NoArgs),
+		Long: `truth runs scenarios in the model over many seeds and on loopback sockets with other seeds. For each run on sockets it
+reports whether the measured credit lies within the interval that the model predicts for a single run.`,
 		Example: `  chutelab lab truth --scenarios calm,sick,mixed --seeds 60 --tries 2`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := l.interruptible(c)
 			defer stop()
 			path, err := sender(program)
 			if err != nil {
-				return fmt.Errorf("no sender to try: %w", err)
+				return fmt.Errorf("finding the sender's program: %w", err)
 			}
 			text, held, err := l.validateModel(ctx, path, names, tries)
 			fmt.Fprint(c.OutOrStdout(), text)
@@ -542,8 +546,8 @@
 		},
 	}
 	l.add(c, 60)
-	c.Flags().StringSliceVar(&names, "scenarios", nil, "scenarios; else those that come with the program")
-	c.Flags().StringVar(&program, "program", "", "the sender's program; else the one beside this")
-	c.Flags().IntVar(&tries, "tries", 2, "runs on sockets of each scenario")
+	c.Flags().StringSliceVar(&names, "scenarios", nil, "scenarios to run; default: the built-in ones")
+	c.Flags().StringVar(&program, "program", "", "sender program; default: chuteweir in this program's directory, else in PATH")
+	c.Flags().IntVar(&tries, "tries", 2, "number of runs on sockets for each scenario")
 	return c
 }
--- a/cmd/chutelab/lab_test.go
+++ b/cmd/chutelab/lab_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// run runs a command of the program within the test.
+// run runs a command of the program within the test process and returns its output.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -20,7 +20,7 @@
 	return out.String(), err
 }
 
-// A short form of each command of the laboratory, from runs to reports.
+// Runs each command of the lab with few seeds and checks its output and the files it writes.
 func TestLab(t *testing.T) {
 	folder := t.TempDir()
 	rows, worst := filepath.Join(folder, "rows.jsonl"), filepath.Join(folder, "worst.toml")
@@ -59,7 +59,7 @@
 	}
 }
 
-// A plan that takes more memory than it may ends with its cause, and what was done is kept.
+// A plan that exceeds --memory ends with an error that names the cause and says that the completed runs are kept.
 func TestLabMemory(t *testing.T) {
 	rows := filepath.Join(t.TempDir(), "rows.jsonl")
 	_, err := run(t, "lab", "run", "--scenario", "mixed", "--seeds", "2000", "--parallel", "2", "--memory", "0.001", "--rows", rows)
@@ -71,7 +71,7 @@
 func TestLabMisused(t *testing.T) {
 	for args, want := range map[string]string{
 		"lab compare --b ours=1":                     "--b",
-		"lab compare":                                "the same way",
+		"lab compare":                                "the same variant",
 		"lab compare --b sending.trips=1 --figure x": "--figure",
 		"lab compare --rows-a x":                     "go together",
 		"lab sweep":                                  "--param",
@@ -88,7 +88,7 @@
 	}
 }
 
-// What a sender logged becomes traffic that a scenario plays again.
+// Converts a sender's log to the recorded traffic that a scenario can replay.
 func TestLabTrace(t *testing.T) {
 	folder := t.TempDir()
 	log := filepath.Join(folder, "n0.log")
--- a/cmd/chutelab/main.go
+++ b/cmd/chutelab/main.go
@@ -1,5 +1,6 @@
-// Command chutelab tries senders out: among stand-ins, under load, and against a plain relay. It is a program of its
-// own so that a sender holds nothing of what only this needs; `chuteweir try` and its like hand over to it.
+// Command chutelab tests senders: with simulated clients, gateways and platform, under load, and compared with a plain
+// relay. It is a separate program so that the sender doesn't contain code that only tests need; `chuteweir try`,
+// `chuteweir load` and the like run it.
 package main
 
 import (
@@ -13,23 +14,26 @@
 )
 
 func main() {
-	// What is seen is kept until it is audited: collecting often would only take the machine from the senders.
+	// Records are kept until they are audited, so frequent garbage collection would free little and take processor
+	// time from the senders.
 	debug.SetGCPercent(400)
 	cli.Exit("chuteweir", commands().Execute())
 }
 
+// commands returns the root command with all subcommands.
 func commands() *cobra.Command {
 	root := cli.Prepare(&cobra.Command{
 		Use:   "chutelab",
-		Short: "Tries senders out among stand-ins on loopback",
-		Long: `chutelab plays scenarios against senders, among stand-in gateways, platform and clients on loopback sockets.
-Every figure is of stand-ins on this machine. Exit status: 0 done, 1 failed or a rule broken, 2 wrong use.`,
+		Short: "Test senders with simulated clients, gateways and platform on loopback",
+		Long: `chutelab runs scenarios against senders, with stand-in gateways, platform and clients on loopback sockets.
+All figures are measured with these stand-ins on this machine. Exit status: 0 done, 1 failed or a rule broken, 2 wrong use.`,
 	})
 	root.AddCommand(tryCommand(), loadCommand(), sickCommand(), labCommand(), standinCommand(), relayCommand())
 	return root
 }
 
-// sender finds the program of a sender: the one named, else the one beside this program.
+// sender returns the path of the sender's program: the named one, or else chuteweir in this program's directory or in
+// PATH.
 func sender(named string) (string, error) {
 	if named != "" {
 		return exec.LookPath(named)
--- a/cmd/chutelab/trace.go
+++ b/cmd/chutelab/trace.go
@@ -16,12 +16,13 @@
 	"github.com/spf13/cobra"
 )
 
+// labTrace returns the command that converts senders' logs to recorded traffic.
 func labTrace() *cobra.Command {
 	return &cobra.Command{
-		Use: "trace LOG...", Short: "Make recorded traffic of senders' logs", Args: cli.Args(cobra.MinimumNArgs(1)),
-		Long: `trace reads logs that senders wrote as JSON at level debug, takes the notices that they took on, and writes them as a file
-that a scenario's traffic.trace names. Destinations are written as the senders' numbers; the scenario must have as many.
-Notices that were turned away are not in it.`,
+		Use: "trace LOG...", Short: "Convert senders' logs to recorded traffic", Args: cli.Args(cobra.MinimumNArgs(1)),
+		Long: `trace reads logs that senders wrote as JSON at level debug and writes the accepted notices as recorded traffic, a file that a
+scenario can name as traffic.trace. Destinations are the numbers that the senders gave them; the scenario must have as
+many. Notices that were rejected are not included.`,
 		Example: `  chuteweir serve --log-format json --log-level debug sender.toml 2>n0.log
   chutelab lab trace n0.log n1.log > peak.csv`,
 		RunE: func(c *cobra.Command, paths []string) error {
@@ -47,7 +48,7 @@
 						Body        int       `json:"body"`
 					}
 					if err := json.Unmarshal(in.Bytes(), &l); err != nil {
-						return fmt.Errorf("%s:%d: no line of a log in JSON: %w", path, line, err)
+						return fmt.Errorf("%s:%d: expected a log line in JSON: %w", path, line, err)
 					}
 					if l.Message != logs.Taken {
 						continue
@@ -64,7 +65,7 @@
 				}
 			}
 			if len(notices) == 0 {
-				return fmt.Errorf("no notices taken in %v: are these logs in JSON at level debug?", paths)
+				return fmt.Errorf("no accepted notices in %v: expected logs in JSON at level debug", paths)
 			}
 			first := slices.MinFunc(times, time.Time.Compare)
 			for i := range notices {
--- a/cmd/chutelab/truth.go
+++ b/cmd/chutelab/truth.go
@@ -11,8 +11,9 @@
 	"chuteweir.example/chuteweir/internal/trial"
 )
 
-// truth holds predictions against sockets. What is predicted is a single run: the spread of single seeds, widened for the
-// mean's own error, and at least by what a busy machine costs every run (leeway).
+// validateModel compares the model's predictions with runs on sockets. The predicted interval is for a single run: it
+// covers the deviation of single seeds and the error of the mean, and its half width is at least minHalfWidth, which
+// allows for the credit that any run loses on a busy machine. It returns a table and the share of runs within it.
 func (l *labFlags) validateModel(ctx context.Context, program string, names []string, tries int) (text string, shareWithin float64, err error) {
 	const minHalfWidth = 0.005
 	if len(names) == 0 {
