--- a/cmd/chutelab/sick.go
+++ b/cmd/chutelab/sick.go
@@ -119,7 +119,7 @@
 		}
 	}
 	done := 0
-	err = each(len(runs), s.parallel, func(i int) (*trial.Result, error) { return runs[i]() }, func(r *trial.Result) error {
+	err = runParallel(len(runs), s.parallel, func(i int) (*trial.Result, error) { return runs[i]() }, func(r *trial.Result) error {
 		put[done](r)
 		done++
 		return nil
--- a/cmd/chutelab/truth.go
+++ b/cmd/chutelab/truth.go
@@ -36,7 +36,7 @@
 		half := max(1.96*e.Deviation*math.Sqrt(1+1/float64(e.N))*1.02, minHalfWidth)
 		calls, dismissed := lab.EstimateMean(lab.Values(rows, "ours", "calls")), lab.EstimateMean(lab.Values(rows, "ours", "dismissed"))
 		var creditMeasured, callsMeasured, dismissedMeasured, verdict []string
-		err = each(tries, tries, func(i int) (*trial.Result, error) {
+		err = runParallel(tries, tries, func(i int) (*trial.Result, error) {
 			s, err := scenario.Load(name)
 			if err != nil {
 				return nil, err
--- a/cmd/chutelab/try.go
+++ b/cmd/chutelab/try.go
@@ -16,6 +16,7 @@
 	"golang.org/x/term"
 )
 
+// tryCommand returns the command that runs scenarios against senders on loopback sockets.
 func tryCommand() *cobra.Command {
 	var name, keep, program, level string
 	var senders, seeds, parallel int
@@ -23,10 +24,10 @@
 	var length time.Duration
 	var asJSON, list, mix bool
 	c := &cobra.Command{
-		Use: "try", Short: "Start senders among stand-ins, run a scenario and tell how it went", Args: cli.Args(cobra.NoArgs),
+		Use: "try", Short: "Run a scenario against senders with stand-ins and report the results", Args: cli.Args(cobra.NoArgs),
 		Long: `try starts a stand-in platform, gateways and clients on free loopback ports and as many senders as the scenario
-says, plays the scenario, audits what was seen against the six rules, and ends with a table. It fails if a rule was
-broken. With --seeds it plays several seeds one after the other and tells a line for each.`,
+says, runs the scenario, checks the recorded events against the six rules, and prints a table. It fails if a rule was
+broken. With --seeds it runs several seeds and prints a line for each.`,
 		Example: `  chuteweir try
   chuteweir try --scenario mixed --senders 3 --seed 7
   chuteweir try --scenario my.toml --keep run --log-level debug
@@ -45,7 +46,7 @@
 			}
 			path, err := sender(program)
 			if err != nil {
-				return fmt.Errorf("no sender to try: %w", err)
+				return fmt.Errorf("finding the sender's program: %w", err)
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -77,7 +78,7 @@
 				return o, nil
 			}
 			broken := 0
-			tell := func(r *trial.Result) error {
+			report := func(r *trial.Result) error {
 				if !r.Clean() {
 					broken++
 				}
@@ -94,7 +95,7 @@
 				}
 				return nil
 			}
-			err = each(seeds, parallel, func(i int) (*trial.Result, error) {
+			err = runParallel(seeds, parallel, func(i int) (*trial.Result, error) {
 				o, err := prepare(i)
 				if err != nil {
 					return nil, err
@@ -104,7 +105,7 @@
 					fmt.Fprint(os.Stderr, "\r\x1b[K")
 				}
 				return r, err
-			}, tell)
+			}, report)
 			if err != nil {
 				return err
 			}
@@ -115,38 +116,39 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&name, "scenario", "calm", "a scenario's file, or the name of one that comes with the program")
-	f.BoolVar(&list, "list", false, "list the scenarios that come with the program")
-	f.IntVar(&senders, "senders", 0, "senders, in place of the scenario's number")
-	f.Uint64Var(&seed, "seed", 1, "of all chance, in place of the scenario's")
-	f.IntVar(&seeds, "seeds", 1, "how many seeds to play, one after the other")
-	f.IntVar(&parallel, "parallel", 1, "with --seeds: how many runs at a time")
-	f.BoolVar(&mix, "mix", false, "draw troubles by the seed in place of the scenario's own")
-	f.DurationVar(&length, "length", 0, "how long notices come, in place of the scenario's length")
-	f.BoolVar(&asJSON, "json", false, "the results as JSON, a line a run")
-	f.StringVar(&keep, "keep", "", "a folder that keeps configurations, ledgers and logs")
-	f.StringVar(&program, "program", "", "the sender's program; else the one beside this")
-	f.StringVar(&level, "log-level", "info", "of the senders' logs: debug tells each notice's way")
+	f.StringVar(&name, "scenario", "calm", "scenario file, or the name of a built-in scenario")
+	f.BoolVar(&list, "list", false, "list the built-in scenarios")
+	f.IntVar(&senders, "senders", 0, "number of senders, instead of the scenario's")
+	f.Uint64Var(&seed, "seed", 1, "random seed, instead of the scenario's")
+	f.IntVar(&seeds, "seeds", 1, "number of seeds to run")
+	f.IntVar(&parallel, "parallel", 1, "with --seeds: number of concurrent runs")
+	f.BoolVar(&mix, "mix", false, "replace the scenario's faults by random ones that the seed determines")
+	f.DurationVar(&length, "length", 0, "duration in which notices are submitted, instead of the scenario's length")
+	f.BoolVar(&asJSON, "json", false, "print the results as JSON, one line for each run")
+	f.StringVar(&keep, "keep", "", "directory in which to keep configurations, ledgers and logs")
+	f.StringVar(&program, "program", "", "sender program; default: chuteweir in this program's directory, else in PATH")
+	f.StringVar(&level, "log-level", "info", "level of the senders' logs; debug traces each notice")
 	return c
 }
 
-// each makes runs, some at a time, and tells their results in their order.
-func each(count, parallel int, run func(int) (*trial.Result, error), tell func(*trial.Result) error) error {
-	type one struct {
+// runParallel makes count runs, up to parallel at a time, and passes their results to report in order. It stops at the
+// first error.
+func runParallel(count, parallel int, run func(int) (*trial.Result, error), report func(*trial.Result) error) error {
+	type outcome struct {
 		r   *trial.Result
 		err error
 	}
-	results, free := make([]chan one, count), make(chan struct{}, max(parallel, 1))
+	results, slots := make([]chan outcome, count), make(chan struct{}, max(parallel, 1))
 	for i := range results {
-		results[i] = make(chan one, 1)
+		results[i] = make(chan outcome, 1)
 	}
 	go func() {
 		for i := range count {
-			free <- struct{}{}
+			slots <- struct{}{}
 			go func() {
 				r, err := run(i)
-				results[i] <- one{r, err}
-				<-free
+				results[i] <- outcome{r, err}
+				<-slots
 			}()
 		}
 	}()
@@ -155,18 +157,19 @@
 		if done.err != nil {
 			return done.err
 		}
-		if err := tell(done.r); err != nil {
+		if err := report(done.r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// progress rewrites the progress line of a terminal.
 func progress(p trial.Progress) {
 	fmt.Fprintf(os.Stderr, "\r\x1b[K%5.1f of %.0f s  %d notices, %d open", max(p.At/1000, 0), p.Length/1000, p.Offered, p.Open)
 }
 
-// line is a run in one line.
+// line formats a run's result as one line.
 func line(r *trial.Result) string {
 	verdict := "kept"
 	if !r.Clean() {
