--- a/cmd/chutelab/lab.go
+++ b/cmd/chutelab/lab.go
@@ -156,7 +156,7 @@
 			defer stop()
 			w, err := lab.ParseVariant(variant)
 			if err != nil {
-				return cli.Misused("%s", err)
+				return cli.UsageErrorf("%s", err)
 			}
 			if workers > 1 { // a single large run on several processors
 				s, err := w.Scenario(l.scenario, l.seed)
@@ -173,7 +173,8 @@
 				runtime.ReadMemStats(&mem)
 				fmt.Fprintf(c.OutOrStdout(), "%d senders, %d destinations, %.0f s simulated in %.1f s on %d workers: %d notices, %d events, "+
 					"%.2f M events a second, %.1f GB from the system\ncredit %.4f, delivered %d, calls %d, further %d, p50 %.1f p99 %.1f ms\n",
-					s.Senders, len(scenario.Lay(s).Destinations), float64(s.Length)/1000, r.Wall.Seconds(), workers, r.All.Asked, r.Events,
+					s.Senders, len(scenario.NewInstance(s).Destinations), float64(s.Length)/1000, r.Wall.Seconds(),
+					workers, r.All.Asked, r.Events,
 					float64(r.Events)/r.Wall.Seconds()/1e6, float64(mem.Sys)/1e9, r.All.Credit, r.All.Delivered, r.Calls, r.Further,
 					r.All.Delivery.P50, r.All.Delivery.P99)
 				if r.Broken {
@@ -208,7 +209,8 @@
 	if err != nil {
 		return err
 	}
-	credit := chart.Chart{Title: "Credit over time, " + s.Name, X: "s from the first notice", Y: "share of the credit asked", Least: 0, Most: 1.02}
+	credit := chart.Chart{Title: "Credit over time, " + s.Name, X: "s from the first notice",
+		Y: "share of the credit asked", YMin: 0, YMax: 1.02}
 	for i, f := range s.Faults {
 		if i < 6 {
 			credit.Bands = append(credit.Bands, chart.Band{Name: f.Kind, From: float64(f.At) / 1000, To: min(float64(f.Until()), float64(s.Length)) / 1000})
@@ -255,7 +257,7 @@
   chutelab lab compare --rows-a before.jsonl --rows-b after.jsonl`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if (rowsA == "") != (rowsB == "") {
-				return cli.Misused("--rows-a and --rows-b go together: only one is set")
+				return cli.UsageErrorf("--rows-a and --rows-b go together: only one is set")
 			}
 			if rowsA != "" {
 				first, err := lab.LoadRows(rowsA)
@@ -274,17 +276,17 @@
 			defer stop()
 			variantA, err := lab.ParseVariant(a)
 			if err != nil {
-				return cli.Misused("--a: %s", err)
+				return cli.UsageErrorf("--a: %s", err)
 			}
 			variantB, err := lab.ParseVariant(b)
 			if err != nil {
-				return cli.Misused("--b: %s", err)
+				return cli.UsageErrorf("--b: %s", err)
 			}
 			if variantA.Name == variantB.Name {
-				return cli.Misused("--a and --b are the same variant")
+				return cli.UsageErrorf("--a and --b are the same variant")
 			}
 			if !slices.ContainsFunc(lab.Figures, func(f lab.Figure) bool { return f.Name == figure }) {
-				return cli.Misused("--figure %q: expected one of %s", figure, strings.Join(lab.FigureNames(), ", "))
+				return cli.UsageErrorf("--figure %q: expected one of %s", figure, strings.Join(lab.FigureNames(), ", "))
 			}
 			var rows []lab.Row
 			for {
@@ -328,17 +330,17 @@
   chutelab lab sweep --scenario sick --param traffic.rate=100..900/s --param sending.slots=8..64 --samples 40`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if len(params) == 0 {
-				return cli.Misused("expected at least one --param, such as sending.slots=16,32")
+				return cli.UsageErrorf("expected at least one --param, such as sending.slots=16,32")
 			}
 			base, err := lab.ParseVariant(variant)
 			if err != nil {
-				return cli.Misused("--way: %s", err)
+				return cli.UsageErrorf("--way: %s", err)
 			}
 			var ranges []lab.Range
 			for _, p := range params {
 				r, err := lab.ParseRange(p)
 				if err != nil {
-					return cli.Misused("--param %s", err)
+					return cli.UsageErrorf("--param %s", err)
 				}
 				ranges = append(ranges, r)
 			}
@@ -346,7 +348,7 @@
 			if samples > 0 {
 				variants = lab.Hypercube(base, ranges, samples, l.seed)
 			} else if variants, err = lab.Grid(base, ranges); err != nil {
-				return cli.Misused("%s", err)
+				return cli.UsageErrorf("%s", err)
 			}
 			ctx, stop := l.interruptible(c)
 			defer stop()
@@ -372,7 +374,7 @@
 // sweepChart draws a figure over the last parameter. With two parameters it draws a line for each value of the first.
 func (l *labFlags) sweepChart(rows []lab.Row, ranges []lab.Range, ways []lab.Variant, figure string) error {
 	last := ranges[len(ranges)-1]
-	c := chart.Chart{Title: figure + ", " + l.scenario, X: last.Key, Y: figure, Points: true}
+	c := chart.Chart{Title: figure + ", " + l.scenario, X: last.Key, Y: figure, MarkPoints: true}
 	per := len(last.Values)
 	for i := 0; i < len(ways); i += per {
 		line := chart.Series{Name: ranges[0].Key + "=" + ranges[0].Values[(i/per)%len(ranges[0].Values)]}
@@ -409,7 +411,7 @@
 			defer stop()
 			w, err := lab.ParseVariant(variant)
 			if err != nil {
-				return cli.Misused("--way: %s", err)
+				return cli.UsageErrorf("--way: %s", err)
 			}
 			done := 0
 			s := lab.Search{Base: l.scenario, Variant: w, Reference: reference, SearchBreaches: breaches, Seeds: lab.ConsecutiveSeeds(l.seed, l.seeds),
--- a/cmd/chutelab/load.go
+++ b/cmd/chutelab/load.go
@@ -55,10 +55,10 @@
   chuteweir load --target 127.0.0.1:8443 --platform 127.0.0.1:8500 --pid 4711`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if l.rate <= 0 || l.destinations < 1 || l.senders < 1 || l.rounds < 1 || l.hang < 0 || l.hang > 1 {
-				return cli.Misused("--rate, --destinations, --senders and --rounds must be above 0, --hang from 0 to 1")
+				return cli.UsageErrorf("--rate, --destinations, --senders and --rounds must be above 0, --hang from 0 to 1")
 			}
 			if l.ramp != "" && !slices.Contains([]string{"steady", "ramp", "peak"}, l.ramp) {
-				return cli.Misused("--shape %s: one of steady, ramp, peak", l.ramp)
+				return cli.UsageErrorf("--shape %s: one of steady, ramp, peak", l.ramp)
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -160,13 +160,13 @@
 		text += fmt.Sprintf("[[fault]]\nkind = \"hang\"\nat = %q\nfor = %q\npart = %f\n", l.length/5, l.length, l.hang)
 	}
 	s, faults := scenario.Read("load", []byte(text))
-	return s, faults.Or()
+	return s, faults.ErrorOrNil()
 }
 
 // side is one of the programs that are compared.
 type side struct {
 	name  string
-	start trial.Start
+	start trial.NewCommand
 	runs  []*trial.Result
 }
 
@@ -177,7 +177,7 @@
 		if err != nil {
 			return fmt.Errorf("no sender to load: %w", err)
 		}
-		sides = append(sides, &side{name: "chuteweir", start: trial.Serve(path, "info")})
+		sides = append(sides, &side{name: "chuteweir", start: trial.ServeCommand(path, "info")})
 	} else {
 		sides = append(sides, &side{name: strings.Join(l.targets, " ")})
 	}
@@ -186,10 +186,10 @@
 		if err != nil {
 			return err
 		}
-		sides = append(sides, &side{name: "relay", start: trial.Relay(self)})
+		sides = append(sides, &side{name: "relay", start: trial.RelayCommand(self)})
 	}
 	if l.against != "" {
-		sides = append(sides, &side{name: l.against, start: trial.Serve(l.against, "info")})
+		sides = append(sides, &side{name: l.against, start: trial.ServeCommand(l.against, "info")})
 	}
 	if l.bound > 0 {
 		return l.search(ctx, out, sides)
@@ -258,7 +258,10 @@
 		}
 		return float64(r.PeakRSS-r.StartRSS) / 1e3 / float64(most*r.Senders)
 	}},
-	{"handed in late", func(r *trial.Result) float64 { return float64(r.LateOffers) / float64(max(r.All.Asked, 1)) }},
+	{"handed in late", func(r *trial.Result) float64 {
+		return float64(r.LateSubmissions) / float64(max(r.All.Asked,
+			1))
+	}},
 }
 
 func share(s trial.Share) float64 { return float64(s.Delivered) / float64(max(s.Asked, 1)) }
@@ -319,15 +322,15 @@
 		return fmt.Errorf("keeping the results: %w", err)
 	}
 	c := chart.Chart{Title: fmt.Sprintf("Delivery, %.0f notices a second, %d destinations", l.rate, l.destinations),
-		X: "ms from the intended hand-in", Y: "share delivered", LogX: true, Least: 0, Most: 1}
+		X: "ms from the intended hand-in", Y: "share delivered", LogX: true, YMin: 0, YMax: 1}
 	for _, s := range sides {
 		line := chart.Series{Name: s.name}
 		r := s.runs[len(s.runs)-1]
-		if r.Spread.TotalCount() == 0 {
+		if r.Deliveries.TotalCount() == 0 {
 			continue
 		}
 		for q := 0.5; q < 100; q += 0.5 {
-			line.X = append(line.X, max(float64(r.Spread.ValueAtQuantile(q))/1000, 0.01))
+			line.X = append(line.X, max(float64(r.Deliveries.ValueAtQuantile(q))/1000, 0.01))
 			line.Y = append(line.Y, q/100*float64(r.All.Delivered)/float64(max(r.All.Asked, 1)))
 		}
 		c.Lines = append(c.Lines, line)
@@ -348,7 +351,7 @@
 			if err != nil {
 				return false, err
 			}
-			late := float64(r.LateOffers) / float64(max(r.All.Asked, 1))
+			late := float64(r.LateSubmissions) / float64(max(r.All.Asked, 1))
 			points = append(points, point{rate, r.Well.Delivery.P99})
 			fmt.Fprintf(out, "%s  %.0f a second: p50 %.1f ms, p99 %.1f ms, delivered %.4f, CPU %.0f us, handed in late %.3f\n", s.name, rate,
 				r.Well.Delivery.P50, r.Well.Delivery.P99, share(r.Well), r.CPU, late)
@@ -386,8 +389,9 @@
 			for _, p := range points {
 				line.X, line.Y = append(line.X, p.rate), append(line.Y, max(p.p99, 0.01))
 			}
-			c := chart.Chart{Title: "p99 of delivery by rate", X: "notices a second", Y: "ms", LogX: true, LogY: true, Points: true,
-				Lines: []chart.Series{line}}
+			c := chart.Chart{Title: "p99 of delivery by rate", X: "notices a second", Y: "ms", LogX: true, LogY: true,
+				MarkPoints: true,
+				Lines:      []chart.Series{line}}
 			if err := c.Save(filepath.Join(l.out, l.name+"-"+s.name+".svg")); err != nil {
 				return err
 			}
--- a/cmd/chutelab/sick.go
+++ b/cmd/chutelab/sick.go
@@ -45,12 +45,12 @@
   chuteweir sick --relay --out docs/measurements --name sick`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			for _, name := range s.only {
-				if !slices.Contains(scenario.SickSet(), name) {
-					return cli.Misused("--only %s: one of %s", name, strings.Join(scenario.SickSet(), ", "))
+				if !slices.Contains(scenario.FailingSet(), name) {
+					return cli.UsageErrorf("--only %s: one of %s", name, strings.Join(scenario.FailingSet(), ", "))
 				}
 			}
 			if s.slots < 0 || s.destinations < 0 || s.rate < 0 || s.parallel < 1 {
-				return cli.Misused("--slots, --destinations and --rate can't be below 0, --parallel not below 1")
+				return cli.UsageErrorf("--slots, --destinations and --rate can't be below 0, --parallel not below 1")
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -76,7 +76,7 @@
 type sickCase struct {
 	name              string
 	calm, hit, relay  *trial.Result
-	trouble, baseline trial.Trouble
+	trouble, baseline trial.FailureImpact
 }
 
 func (s *sickness) run(ctx context.Context, out io.Writer) error {
@@ -90,7 +90,7 @@
 	}
 	names := s.only
 	if len(names) == 0 {
-		names = scenario.SickSet()
+		names = scenario.FailingSet()
 	}
 	var cases []*sickCase
 	var runs []func() (*trial.Result, error)
@@ -103,19 +103,22 @@
 			return err
 		}
 		s.scale(hit)
-		struck := scenario.Lay(hit)
+		struck := scenario.NewInstance(hit)
 		isSick := func(d int) bool { return len(struck.Destinations[d-1].Faults) > 0 }
-		play := func(sc *scenario.Scenario, start trial.Start, to func(*trial.Result)) {
+		play := func(sc *scenario.Scenario, start trial.NewCommand, to func(*trial.Result)) {
 			runs = append(runs, func() (*trial.Result, error) {
-				return trial.Run(ctx, trial.Options{Scenario: sc, Start: start, Sick: isSick})
+				return trial.Run(ctx, trial.Options{Scenario: sc, Start: start, IsFailing: isSick})
 			})
 			put = append(put, to)
 		}
-		serve := trial.Serve(program, "info")
-		play(hit.Well(), serve, func(r *trial.Result) { c.calm = r })
-		play(hit, serve, func(r *trial.Result) { c.hit, c.trouble = r, r.Trouble(isSick) })
+		serve := trial.ServeCommand(program, "info")
+		play(hit.WithoutFaults(), serve, func(r *trial.Result) { c.calm = r })
+		play(hit, serve, func(r *trial.Result) { c.hit, c.trouble = r, r.FailureImpact(isSick) })
 		if s.relay {
-			play(hit, trial.Relay(self), func(r *trial.Result) { c.relay, c.baseline = r, r.Trouble(isSick) })
+			play(hit, trial.RelayCommand(self), func(r *trial.Result) {
+				c.relay, c.baseline = r,
+					r.FailureImpact(isSick)
+			})
 		}
 	}
 	done := 0
@@ -182,7 +185,7 @@
 
 func (s *sickness) table(cases []*sickCase) string {
 	var b strings.Builder
-	w := cases[0].hit.World
+	w := cases[0].hit.Instance
 	fmt.Fprintf(&b, "%.0f notices a second, some %d destinations, %d slots, seed %d; sick from 1 to 6 s of 8; figures of destinations that are well,\n"+
 		"against the same seed with no trouble\n\n", w.Traffic.Rate, len(w.Destinations), w.Settings.Slots, w.Seed)
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
@@ -227,7 +230,7 @@
 	if err := os.MkdirAll(s.out, 0o755); err != nil {
 		return fmt.Errorf("keeping the results: %w", err)
 	}
-	slots := chart.Chart{Title: "Slots held by sick destinations", X: "s", Y: "share of all slots", Least: 0, Most: 1,
+	slots := chart.Chart{Title: "Slots held by sick destinations", X: "s", Y: "share of all slots", YMin: 0, YMax: 1,
 		Bands: []chart.Band{{Name: "sick", From: 1, To: 6}}}
 	load := chart.Chart{Title: "Calls that reached sick destinations", X: "s", Y: "for each notice wanted", Bands: slots.Bands}
 	for _, c := range cases {
--- a/cmd/chutelab/standin.go
+++ b/cmd/chutelab/standin.go
@@ -21,13 +21,13 @@
 }
 
 // stage lays out a scenario for senders that somebody else runs.
-func stage(name string) (*standin.Stage, *standin.Gateways, error) {
+func stage(name string) (*standin.Environment, *standin.Gateways, error) {
 	s, err := scenario.Load(name)
 	if err != nil {
 		return nil, nil, err
 	}
-	st := standin.NewStage(scenario.Lay(s))
-	st.Strangers = true
+	st := standin.NewEnvironment(scenario.NewInstance(s))
+	st.ServeUnknown = true
 	g, err := standin.NewGateways(st)
 	if err != nil {
 		st.Close()
@@ -37,10 +37,10 @@
 }
 
 // watch tells what arrives until the command is ended.
-func watch(c *cobra.Command, st *standin.Stage, verbose bool) {
+func watch(c *cobra.Command, st *standin.Environment, verbose bool) {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
-	st.Clock.Begin()
+	st.Clock.Start()
 	told := 0
 	for {
 		select {
@@ -55,7 +55,8 @@
 					delivered++
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "calls %d, took effect %d, answered 200 %d; ends told %d\n", len(v.Calls), ran, delivered, len(v.Ends))
+			fmt.Fprintf(c.OutOrStdout(), "calls %d, took effect %d, answered 200 %d; ends told %d\n", len(v.Calls), ran,
+				delivered, len(v.Outcomes))
 			return
 		case <-time.After(200 * time.Millisecond):
 		}
@@ -65,7 +66,7 @@
 		calls := st.Record.View().Calls
 		for _, call := range calls[told:] {
 			fmt.Fprintf(c.OutOrStdout(), "%9.1f  %s called at %s: took effect %v, status %d, wait %.0f %s\n", call.First, call.ID, call.Receiver,
-				call.Ran, call.Status, call.Wait, call.Fault)
+				call.Ran, call.Status, call.RequestedWait, call.Fault)
 		}
 		told = len(calls)
 	}
@@ -122,14 +123,16 @@
 				return err
 			}
 			if write != "" {
-				w := st.World
-				sender := config.Config{Name: "n0", Listen: serve, Discovery: listen, State: state, Drawn: true, Format: "text", Level: "info",
+				w := st.Instance
+				sender := config.Config{Name: "n0", Listen: serve, Discovery: listen, State: state, RandomSeed: true,
+					Format: "text", Level: "info",
 					Machine: w.Machine, Settings: w.Settings, Names: w.Names}
 				if err := os.WriteFile(write, sender.TOML(), 0o644); err != nil {
 					return fmt.Errorf("writing a sender's configuration: %w", err)
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "a platform answers at %s, with %d destinations\n", listen, len(st.World.Destinations))
+			fmt.Fprintf(c.OutOrStdout(), "a platform answers at %s, with %d destinations\n", listen,
+				len(st.Instance.Destinations))
 			watch(c, st, verbose)
 			return nil
 		},
--- a/cmd/chutelab/truth.go
+++ b/cmd/chutelab/truth.go
@@ -42,7 +42,7 @@
 				return nil, err
 			}
 			s.Seed = l.seed + uint64(l.seeds+i)
-			return trial.Run(ctx, trial.Options{Scenario: s, Start: trial.Serve(program, "info")})
+			return trial.Run(ctx, trial.Options{Scenario: s, Start: trial.ServeCommand(program, "info")})
 		}, func(r *trial.Result) error {
 			asked := float64(max(r.All.Asked, 1))
 			creditMeasured = append(creditMeasured, fmt.Sprintf("%.4f", r.All.Credit))
--- a/cmd/chutelab/try.go
+++ b/cmd/chutelab/try.go
@@ -68,9 +68,9 @@
 				if mix {
 					scenario.Mix(s)
 				}
-				o := trial.Options{Scenario: s, Start: trial.Serve(path, level), Keep: keep}
+				o := trial.Options{Scenario: s, Start: trial.ServeCommand(path, level), KeepDir: keep}
 				if seeds > 1 && keep != "" {
-					o.Keep = fmt.Sprintf("%s/seed-%d", keep, s.Seed)
+					o.KeepDir = fmt.Sprintf("%s/seed-%d", keep, s.Seed)
 				}
 				if seeds == 1 && !asJSON && term.IsTerminal(int(os.Stderr.Fd())) {
 					o.Progress = progress
@@ -86,7 +86,7 @@
 				case asJSON:
 					return json.NewEncoder(out).Encode(r)
 				case seeds == 1:
-					r.Table(out)
+					r.WriteTable(out)
 					return nil
 				}
 				fmt.Fprintln(out, line(r))
--- a/cmd/chuteweir/clock_test.go
+++ b/cmd/chuteweir/clock_test.go
@@ -18,14 +18,14 @@
 	previous.Close()
 	fresh, _, err := ledger.Open(env.t.TempDir(), capacity)
 	env.must(err)
-	env.stateDirectory = fresh.Folder()
+	env.stateDirectory = fresh.StateDir()
 	for _, notice := range pending {
 		notice.Until = notice.Until.Add(-step)
 		notice.TakenAt.Wall -= step.Milliseconds()
-		env.must(fresh.Taken(notice))
-		for _, trip := range notice.Ran {
+		env.must(fresh.RecordAccepted(notice))
+		for _, trip := range notice.PossibleRuns {
 			trip.At = trip.At.Add(-step)
-			env.must(fresh.Trip(notice.Number, trip))
+			env.must(fresh.RecordTrip(notice.Number, trip))
 		}
 	}
 	_, err = fresh.Flush()
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			env := startEnvironment(t)
-			env.respondWith(func(*standin.Asked) standin.Reply { return standin.Reply{Never: true} })
+			env.respondWith(func(*standin.ReceivedCall) standin.Reply { return standin.Reply{NoResponse: true} })
 			env.submit("note", "may-repeat", 4000, 1)
 			env.awaitLines(1, "receiver")
 			env.killSender()
@@ -66,7 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			env := startEnvironment(t)
-			env.respondWith(func(*standin.Asked) standin.Reply { return standin.Reply{Never: true} })
+			env.respondWith(func(*standin.ReceivedCall) standin.Reply { return standin.Reply{NoResponse: true} })
 			deadline := time.Now().Add(timeout)
 			env.submit("note", "held", int(timeout.Milliseconds()), 1)
 			env.awaitLines(1, "receiver")
--- a/cmd/chuteweir/commands.go
+++ b/cmd/chuteweir/commands.go
@@ -59,10 +59,10 @@
   chuteweir serve --log-format json --log-level debug sender.toml`,
 		RunE: func(_ *cobra.Command, args []string) error {
 			if format != "" && format != "text" && format != "json" {
-				return cli.Misused("--log-format is %q; it must be text or json", format)
+				return cli.UsageErrorf("--log-format is %q; it must be text or json", format)
 			}
 			if !slices.Contains([]string{"", "debug", "info", "warn", "error"}, level) {
-				return cli.Misused("--log-level is %q; it must be debug, info, warn or error", level)
+				return cli.UsageErrorf("--log-level is %q; it must be debug, info, warn or error", level)
 			}
 			return serve(args[0], state, format, level)
 		},
@@ -179,7 +179,7 @@
 				return err
 			}
 			fmt.Fprintf(command.OutOrStdout(), "%d bytes, %d records, %d notices pending\n", report.Bytes,
-				report.Records, len(report.Owed))
+				report.Records, len(report.Pending))
 			for _, kind := range slices.Sorted(mapKeys(report.Kinds)) {
 				fmt.Fprintf(command.OutOrStdout(), "  %-12s %d\n", kind, report.Kinds[kind])
 			}
@@ -209,7 +209,7 @@
 func showLedger(out io.Writer, report ledger.Report, asJSON bool, now time.Time) error {
 	if asJSON {
 		encoder := json.NewEncoder(out)
-		for _, notice := range report.Owed {
+		for _, notice := range report.Pending {
 			if err := encoder.Encode(struct {
 				Number      uint32    `json:"number"`
 				ID          string    `json:"id"`
@@ -222,7 +222,7 @@
 				Ended       string    `json:"ended,omitempty"`
 				Bytes       int       `json:"bytes"`
 			}{uint32(notice.Number), notice.ID, notice.Grade, notice.Portfolio, int32(notice.Destination), notice.Until,
-				notice.Trips, len(notice.Ran), notice.Ended, len(notice.Body)}); err != nil {
+				notice.Trips, len(notice.PossibleRuns), notice.Outcome, len(notice.Body)}); err != nil {
 				return err
 			}
 		}
@@ -230,10 +230,10 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ID\tGRADE\tDESTINATION\tTIME LEFT\tTRIPS\tMAY HAVE RUN\tENDED\tBYTES")
-	for _, notice := range report.Owed {
+	for _, notice := range report.Pending {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%d\t%s\t%d\n", notice.ID, notice.Grade, notice.Destination,
 			notice.Until.Sub(now).Round(time.Millisecond), notice.Trips,
-			len(notice.Ran), notice.Ended, len(notice.Body))
+			len(notice.PossibleRuns), notice.Outcome, len(notice.Body))
 	}
 	return table.Flush()
 }
--- a/cmd/chuteweir/deadlines_test.go
+++ b/cmd/chuteweir/deadlines_test.go
@@ -33,9 +33,9 @@
 	seeded, _, err := ledger.Open(env.stateDirectory, ledgerCapacity)
 	env.must(err)
 	write := func(notice ledger.Notice) {
-		env.must(seeded.Taken(notice))
-		for _, trip := range notice.Ran {
-			env.must(seeded.Trip(notice.Number, trip))
+		env.must(seeded.RecordAccepted(notice))
+		for _, trip := range notice.PossibleRuns {
+			env.must(seeded.RecordTrip(notice.Number, trip))
 		}
 	}
 	for i := range extraNotices {
@@ -74,7 +74,7 @@
 
 // respondOKAt makes receivers respond with 200 at a given time.
 func (env *environment) respondOKAt(at time.Time) {
-	env.respondWith(func(*standin.Asked) standin.Reply {
+	env.respondWith(func(*standin.ReceivedCall) standin.Reply {
 		time.Sleep(time.Until(at))
 		return standin.Reply{Status: 200}
 	})
@@ -110,10 +110,10 @@
 		id := fmt.Sprint("numbered-", remaining)
 		calledAt[id] = time.Now().Add(remaining - keyRetention)
 		notices = append(notices, ledger.Notice{ID: id, Grade: "note", Portfolio: "acme", Destination: 1,
-			Until: time.Now().Add(10 * time.Second), Ran: []ledger.Trip{{At: calledAt[id], Zone: "here"}}})
+			Until: time.Now().Add(10 * time.Second), PossibleRuns: []ledger.Trip{{At: calledAt[id], Zone: "here"}}})
 	}
 	env.seedLedger(notices...)
-	env.respondWith(func(call *standin.Asked) standin.Reply {
+	env.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		if late := time.Since(calledAt[call.ID]) - keyRetention; late > tolerance {
 			t.Errorf("%s was sent again %v after its key was forgotten", call.ID, late)
 		}
--- a/cmd/chuteweir/main.go
+++ b/cmd/chuteweir/main.go
@@ -14,7 +14,7 @@
 	if len(os.Args) == 1 {
 		path, state := os.Getenv("PROXY_CONFIG"), os.Getenv("PROXY_STATE")
 		if path == "" || state == "" {
-			return cli.Misused(
+			return cli.UsageErrorf(
 				"PROXY_CONFIG must name the configuration file and PROXY_STATE the state directory; see chuteweir help")
 		}
 		return serve(path, state, "", "")
--- a/cmd/chuteweir/main_test.go
+++ b/cmd/chuteweir/main_test.go
@@ -50,7 +50,7 @@
 	env.submit("note", "n-1", 12000, 1)
 	env.awaitLines(1, "receiver")
 	calls := 0
-	env.respondWith(func(*standin.Asked) standin.Reply {
+	env.respondWith(func(*standin.ReceivedCall) standin.Reply {
 		calls++
 		switch calls {
 		case 1:
@@ -93,7 +93,7 @@
 		"no HTTP at all\r\n\r\n",
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut",
 	}
-	env.respondWith(func(*standin.Asked) standin.Reply {
+	env.respondWith(func(*standin.ReceivedCall) standin.Reply {
 		raw := responses[0]
 		responses = responses[1:]
 		return standin.Reply{Raw: raw, Close: true}
@@ -141,8 +141,8 @@
 			t.Errorf("%s: answered or closed only after %v", name, time.Since(started))
 		}
 	}
-	env.respondWith(func(*standin.Asked) standin.Reply {
-		return standin.Reply{Status: 200, After: 300 * time.Millisecond}
+	env.respondWith(func(*standin.ReceivedCall) standin.Reply {
+		return standin.Reply{Status: 200, Delay: 300 * time.Millisecond}
 	})
 	env.record("d first: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
 	env.record("d same id again: %s", env.sendRaw(submission("note", "same", 12000, 1, "")))
@@ -185,11 +185,11 @@
 // notice whose call may have taken effect.
 func TestRestoresNoticesAfterKill(t *testing.T) {
 	env := startEnvironment(t)
-	env.respondWith(func(call *standin.Asked) standin.Reply {
+	env.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		if call.ID == "o-1" { // rejected, so it has had no effect
 			return standin.Reply{Status: 429, Fields: []string{"Retry-After: 7.5"}}
 		}
-		return standin.Reply{Never: true}
+		return standin.Reply{NoResponse: true}
 	})
 	env.submit("note", "n-1", 12000, 1, "Idempotency-Key: key\r\n")
 	env.awaitLines(1, "receiver")
@@ -229,8 +229,8 @@
 // Guards against a shutdown that cuts off a call in flight, and against a sender that accepts notices during it.
 func TestFinishesCallsBeforeShutdown(t *testing.T) {
 	env := startEnvironment(t)
-	env.respondWith(func(*standin.Asked) standin.Reply {
-		return standin.Reply{Status: 200, After: 700 * time.Millisecond}
+	env.respondWith(func(*standin.ReceivedCall) standin.Reply {
+		return standin.Reply{Status: 200, Delay: 700 * time.Millisecond}
 	})
 	env.submit("order", "o-1", 12000, 1)
 	env.awaitLines(1, "receiver")
@@ -330,7 +330,7 @@
 // receiver responds with 410 is not tried again.
 func TestRefusesWhatCannotBeDeliveredInTime(t *testing.T) {
 	env := startEnvironment(t)
-	env.respondWith(func(call *standin.Asked) standin.Reply {
+	env.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		if call.ID == "o-1" {
 			return standin.Reply{Status: 410}
 		}
@@ -413,7 +413,7 @@
 func TestIdleConnections(t *testing.T) {
 	env := startEnvironment(t, `idle_kept = "10s"`, `idle_kept = "400ms"`)
 	var remotes []string
-	env.respondWith(func(call *standin.Asked) standin.Reply {
+	env.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		env.locked(func() { remotes = append(remotes, call.Remote) })
 		return standin.Reply{Status: 200}
 	})
@@ -456,7 +456,7 @@
 func TestReloads(t *testing.T) {
 	env := startEnvironment(t)
 	env.locked(func() { env.acceptsReports = false })
-	env.respondWith(func(call *standin.Asked) standin.Reply {
+	env.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		if call.ID == "n-0" {
 			time.Sleep(700 * time.Millisecond)
 			env.record("receiver: n-0 is answered")
@@ -553,7 +553,7 @@
 // Checks that the notices of one key are called one at a time, in the order in which they were accepted.
 func TestKeepsOrder(t *testing.T) {
 	env := startEnvironment(t, `repeat = "reissuable"`, "repeat = \"reissuable\"\nin_order = true")
-	env.respondWith(func(call *standin.Asked) standin.Reply {
+	env.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		time.Sleep(100 * time.Millisecond)
 		env.record("receiver: %s is done", call.ID)
 		return standin.Reply{Status: 200}
@@ -579,7 +579,7 @@
 	env := startEnvironment(t, `slots = 8`, `slots = 20`)
 	random := rand.New(rand.NewPCG(7, 7))
 	accepted, executions, delivered := map[string]bool{}, map[string]int{}, map[string]bool{}
-	env.respondWith(func(call *standin.Asked) standin.Reply {
+	env.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		env.mu.Lock()
 		behavior := random.IntN(20)
 		if behavior != 0 {
--- a/cmd/chuteweir/serve.go
+++ b/cmd/chuteweir/serve.go
@@ -52,10 +52,11 @@
 	for _, warning := range warnings {
 		log.Warn(logs.ConfigOdd, "why", warning.Error())
 	}
-	sender.Run(loop.Signals{Leave: terminate, Tell: printCounters, Reload: reload, Read: func() (loop.Config, error) {
-		reloaded, _, err := config.Load(path, state)
-		return loopConfig(reloaded), err
-	}})
+	sender.Run(loop.Signals{Shutdown: terminate, LogCounters: printCounters, Reload: reload,
+		ReadConfig: func() (loop.Config, error) {
+			reloaded, _, err := config.Load(path, state)
+			return loopConfig(reloaded), err
+		}})
 	return nil
 }
 
--- a/cmd/chuteweir/waits_test.go
+++ b/cmd/chuteweir/waits_test.go
@@ -65,7 +65,7 @@
 // wait while the connection was being opened.
 func TestCallIsNotSentOnConnectionOpenedDuringRequestedWait(t *testing.T) {
 	checker := newWaitChecker(startEnvironment(t, `connect_time = "500ms"`, `connect_time = "3s"`))
-	checker.respondWith(func(call *standin.Asked) standin.Reply {
+	checker.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		checker.recordCall(call.ID)
 		if call.ID != "limited" || checker.waitRequested() {
 			return standin.Reply{Status: 200}
@@ -90,10 +90,10 @@
 
 // checkWaitIsFollowed checks that nothing is sent during a wait of 2 s that a receiver requests when it responds to
 // the first call.
-func checkWaitIsFollowed(t *testing.T, respondFirst func(*waitChecker, *standin.Asked) standin.Reply,
+func checkWaitIsFollowed(t *testing.T, respondFirst func(*waitChecker, *standin.ReceivedCall) standin.Reply,
 	replacements ...string) {
 	checker := newWaitChecker(startEnvironment(t, replacements...))
-	checker.respondWith(func(call *standin.Asked) standin.Reply {
+	checker.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		checker.recordCall(call.ID)
 		if call.ID != "limited" || checker.waitRequested() {
 			return standin.Reply{Status: 200}
@@ -118,7 +118,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			checkWaitIsFollowed(t, func(checker *waitChecker, _ *standin.Asked) standin.Reply {
+			checkWaitIsFollowed(t, func(checker *waitChecker, _ *standin.ReceivedCall) standin.Reply {
 				checker.recordWait(2 * time.Second)
 				return standin.Reply{Raw: raw}
 			})
@@ -129,8 +129,8 @@
 // Guards against ignoring the Retry-After header of a response that arrives when the sender has just ended its call
 // for taking too long.
 func TestWaitOfResponseAfterTimeoutIsFollowed(t *testing.T) {
-	checkWaitIsFollowed(t, func(checker *waitChecker, call *standin.Asked) standin.Reply {
-		<-call.Gone
+	checkWaitIsFollowed(t, func(checker *waitChecker, call *standin.ReceivedCall) standin.Reply {
+		<-call.PeerClosed
 		checker.recordWait(2 * time.Second)
 		return standin.Reply{Status: 429, Fields: []string{"Retry-After: 2"}}
 	}, `quoted = "3s"`, `quoted = "300ms"`)
--- a/cmd/chuteweir/world_test.go
+++ b/cmd/chuteweir/world_test.go
@@ -93,7 +93,7 @@
 // environment is a sender process under test, with the simulated gateways and platform around it.
 type environment struct {
 	t        *testing.T
-	instance *standin.Stage
+	instance *standin.Environment
 	gateways *standin.Gateways
 	platform *standin.Platform
 
@@ -102,7 +102,7 @@
 	acceptsReports   bool     // whether the platform accepts outcome reports; if not, it responds with 500
 	unreadableReport string   // the platform responds with 400 to reports that contain this text, unless it is empty
 	listReplacement  string   // what the platform sends in place of the receiver list, unless it is empty
-	respond          func(*standin.Asked) standin.Reply
+	respond          func(*standin.ReceivedCall) standin.Reply
 
 	listen, stateDirectory, configPath string
 	config                             config.Config
@@ -119,15 +119,15 @@
 	}
 	env := &environment{t: t, acceptsReports: true, stateDirectory: t.TempDir(),
 		configPath: filepath.Join(t.TempDir(), "config.json"),
-		instance:   standin.NewStage(scenario.Lay(parsed)),
-		respond:    func(*standin.Asked) standin.Reply { return standin.Reply{Status: 200} }}
+		instance:   standin.NewEnvironment(scenario.NewInstance(parsed)),
+		respond:    func(*standin.ReceivedCall) standin.Reply { return standin.Reply{Status: 200} }}
 	t.Cleanup(env.instance.Close)
 	var err error
 	env.gateways, err = standin.NewGateways(env.instance)
 	env.must(err)
 	env.gateways.Script = env.receiveCall
 	env.platform = env.newPlatform("platform")
-	env.listen = env.instance.Free()
+	env.listen = env.instance.UnusedAddress()
 	env.config = config.Config{Name: "n0", Listen: env.listen, Seed: 0x8c1f30d27a5be964, Machine: parsed.Machine,
 		Settings: parsed.Settings, Names: parsed.Names}
 	t.Cleanup(env.killSender)
@@ -148,7 +148,7 @@
 func (env *environment) newPlatform(name string) *standin.Platform {
 	platform, err := standin.NewPlatform(env.instance, env.gateways, 1)
 	env.must(err)
-	platform.Answer = func(_ int, writer http.ResponseWriter, request *http.Request, body []byte) bool {
+	platform.Override = func(_ int, writer http.ResponseWriter, request *http.Request, body []byte) bool {
 		env.mu.Lock()
 		acceptsReports, unreadableReport, listReplacement :=
 			env.acceptsReports || name != "platform", env.unreadableReport, env.listReplacement
@@ -215,7 +215,7 @@
 }
 
 // receiveCall records a call to any receiver and responds to it.
-func (env *environment) receiveCall(call *standin.Asked) standin.Reply {
+func (env *environment) receiveCall(call *standin.ReceivedCall) standin.Reply {
 	name := "receiver"
 	if call.Receiver == "other" {
 		name = "other"
@@ -228,12 +228,12 @@
 }
 
 // respondWith sets how receivers respond from now on.
-func (env *environment) respondWith(respond func(*standin.Asked) standin.Reply) {
+func (env *environment) respondWith(respond func(*standin.ReceivedCall) standin.Reply) {
 	env.locked(func() { env.respond = respond })
 }
 
 // respondOK responds with status 200 to a call.
-func respondOK(*standin.Asked) standin.Reply { return standin.Reply{Status: 200} }
+func respondOK(*standin.ReceivedCall) standin.Reply { return standin.Reply{Status: 200} }
 
 // writeConfig writes the sender's configuration file, with the present address and receiver list of the platform.
 func (env *environment) writeConfig() {
--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -72,10 +72,11 @@
 
 // Check checks the rules on a view as Record.Check does. It sorts the view's calls by the time of their first byte.
 func (v View) Check(settings rules.Settings, t Tolerances, until rules.Millis) []Breach {
-	c := &checker{View: v, settings: settings, tolerances: t, until: until, submissions: map[string]*Hand{},
-		callsByID: map[string][]*Call{}, outcomesByID: map[string][]End{}, byEffect: map[string][]*Hand{}}
-	for i := range c.Hands {
-		h := &c.Hands[i]
+	c := &checker{View: v, settings: settings, tolerances: t, until: until, submissions: map[string]*Submission{},
+		callsByID: map[string][]*Call{}, outcomesByID: map[string][]FinalOutcome{},
+		byEffect: map[string][]*Submission{}}
+	for i := range c.Submissions {
+		h := &c.Submissions[i]
 		c.submissions[h.ID] = h
 		c.byEffect[h.Effect] = append(c.byEffect[h.Effect], h)
 	}
@@ -83,13 +84,13 @@
 	for i := range c.Calls {
 		c.callsByID[c.Calls[i].ID] = append(c.callsByID[c.Calls[i].ID], &c.Calls[i])
 	}
-	for _, e := range c.Ends {
+	for _, e := range c.Outcomes {
 		c.outcomesByID[e.ID] = append(c.outcomesByID[e.ID], e)
 	}
 	c.checkUnknownCalls()
-	for i := range c.Hands {
-		c.checkFinalAnswer(&c.Hands[i])
-		c.checkRepeats(&c.Hands[i])
+	for i := range c.Submissions {
+		c.checkFinalAnswer(&c.Submissions[i])
+		c.checkRepeats(&c.Submissions[i])
 	}
 	c.checkEffects()
 	c.checkDrains()
@@ -105,10 +106,10 @@
 	settings     rules.Settings
 	tolerances   Tolerances
 	until        rules.Millis
-	submissions  map[string]*Hand   // by notice ID
-	callsByID    map[string][]*Call // in the order of their first bytes
-	outcomesByID map[string][]End
-	byEffect     map[string][]*Hand // submissions of each effect
+	submissions  map[string]*Submission // by notice ID
+	callsByID    map[string][]*Call     // in the order of their first bytes
+	outcomesByID map[string][]FinalOutcome
+	byEffect     map[string][]*Submission // submissions of each effect
 	breaches     []Breach
 }
 
@@ -140,7 +141,7 @@
 		}
 		for _, call := range c.callsByID[related.ID] {
 			addEntry(call.First, "gateway: %s called at %s, ran %v, unread %v, status %d, wait %.0f, fault %s",
-				related.ID, call.Receiver, call.Ran, call.Unread, call.Status, call.Wait, call.Fault)
+				related.ID, call.Receiver, call.Ran, call.Unread, call.Status, call.RequestedWait, call.Fault)
 			if call.Replied > 0 {
 				addEntry(call.Replied, "gateway: %s got response %d, delivered %v", related.ID,
 					call.Status, call.Delivered)
@@ -152,7 +153,7 @@
 		for _, e := range c.outcomesByID[related.ID] {
 			addEntry(e.At, "platform: %s %s, reported by sender %d", related.ID, e.Outcome, e.Sender)
 		}
-		for _, l := range c.Lives {
+		for _, l := range c.SenderEvents {
 			if l.Sender == related.Sender && l.At > related.At-1000 && l.At < related.Until+5000 {
 				addEntry(l.At, "sender %d %s", l.Sender, l.What)
 			}
@@ -174,7 +175,7 @@
 
 // disrupted reports whether a sender was killed, told to leave, paused, resumed or started between two times.
 func (c *checker) disrupted(sender int, from, to rules.Millis) bool {
-	for _, l := range c.Lives {
+	for _, l := range c.SenderEvents {
 		if l.Sender == sender && l.At >= from && l.At <= to {
 			return true
 		}
@@ -185,7 +186,7 @@
 // unavailable reports whether a sender was down or paused at a time, or became ready less than the restart tolerance
 // before it, and when it was ready again.
 func (c *checker) unavailable(sender int, at rules.Millis) (unavailable bool, readyAt rules.Millis) {
-	for _, l := range c.Lives {
+	for _, l := range c.SenderEvents {
 		if l.Sender != sender {
 			continue
 		}
@@ -207,7 +208,7 @@
 // disruptedBefore reports whether a sender was unavailable before a time. This distinguishes a restart from the first
 // start.
 func (c *checker) disruptedBefore(sender int, before rules.Millis) bool {
-	for _, l := range c.Lives {
+	for _, l := range c.SenderEvents {
 		if l.Sender == sender && l.At < before && l.What != "ready" {
 			return true
 		}
@@ -230,15 +231,15 @@
 		case submission.Dest != call.Dest:
 			c.report(Other, call.ID, "is for destination %d and was called at %s of destination %d", submission.Dest,
 				call.Receiver, call.Dest)
-		case submission.Status > 0 && !submission.Taken() && call.First > submission.Answered+c.tolerances.Slack:
+		case submission.Status > 0 && !submission.Accepted() && call.First > submission.Answered+c.tolerances.Slack:
 			c.report(Lost, call.ID, "was called %.0f ms after the sender rejected it", call.First-submission.Answered)
 		}
 	}
 }
 
 // checkFinalAnswer checks that an accepted notice has exactly one final answer in time, and that no call follows it.
-func (c *checker) checkFinalAnswer(submission *Hand) {
-	if !submission.Taken() {
+func (c *checker) checkFinalAnswer(submission *Submission) {
+	if !submission.Accepted() {
 		return
 	}
 	delivered, seen, complete := never, never, never
@@ -251,7 +252,7 @@
 			seen = min(seen, call.Replied)
 			// An incomplete response with status 200 may belong to an earlier call, so the sender may also report a
 			// final outcome for its notice.
-			if !call.Spoilt && !call.Unfinished && !call.retractable(c.settings.Fall+c.tolerances.Crossing) {
+			if !call.Malformed && !call.Unfinished && !call.retractable(c.settings.OverloadTime+c.tolerances.Crossing) {
 				complete = min(complete, call.Replied)
 			}
 		}
@@ -300,7 +301,7 @@
 // Reports that it refuses are repeated after little more than a second, so each refusal after the time since extends
 // the limit.
 func (c *checker) outcomeAcceptedBy(sender int, since, reported rules.Millis) rules.Millis {
-	for _, s := range c.Shut {
+	for _, s := range c.RefusedReports {
 		if s.Sender == sender && s.At > since && s.At <= reported {
 			reported = max(reported, s.At+c.tolerances.Restart)
 		}
@@ -310,7 +311,7 @@
 
 // checkRepeats checks one notice's trips: their number, that no two run at once, and that the notice's grade allows
 // each repetition.
-func (c *checker) checkRepeats(submission *Hand) {
+func (c *checker) checkRepeats(submission *Submission) {
 	calls, grade := c.callsByID[submission.ID], c.settings.Grades[submission.Grade]
 	if len(calls) > c.settings.TripLimit {
 		c.report(Other, submission.ID, "had %d trips, the limit is %d", len(calls), c.settings.TripLimit)
@@ -347,8 +348,8 @@
 
 // checkEffects checks that an at-most-once effect happens once, counted over all its submissions.
 func (c *checker) checkEffects() {
-	for i := range c.Hands {
-		h := &c.Hands[i]
+	for i := range c.Submissions {
+		h := &c.Submissions[i]
 		if c.byEffect[h.Effect][0] != h || c.settings.Grades[h.Grade].Repeat != rules.AtMostOnce {
 			continue
 		}
@@ -373,9 +374,9 @@
 		sender   int
 	}
 	unusableSince := map[receiverOfSender]rules.Millis{}
-	for _, t := range c.Told {
+	for _, t := range c.Listings {
 		key := receiverOfSender{t.Receiver, t.Sender}
-		if t.Standing == "ready" {
+		if t.Status == "ready" {
 			delete(unusableSince, key)
 		} else if _, before := unusableSince[key]; !before {
 			unusableSince[key] = t.At
@@ -399,10 +400,10 @@
 // checkReturns checks that no destination is overloaded on its return from an outage mainly by senders that knew of the
 // outage: those that had seen it must have made fewer than two thirds of the calls.
 func (c *checker) checkReturns() {
-	for _, f := range c.Falls {
+	for _, f := range c.Overloads {
 		total, forewarned := 0, 0
 		for sender, n := range f.By {
-			if total += n; f.Seen[sender] {
+			if total += n; f.SawOutage[sender] {
 				forewarned += n
 			}
 		}
@@ -418,16 +419,16 @@
 // them.
 func (c *checker) checkOrder() {
 	type keyOfSender struct{ sender, key int }
-	queues := map[keyOfSender][]*Hand{}
-	for i := range c.Hands {
-		h := &c.Hands[i]
-		if h.Key != 0 && h.Taken() && c.settings.Grades[h.Grade].InOrder {
+	queues := map[keyOfSender][]*Submission{}
+	for i := range c.Submissions {
+		h := &c.Submissions[i]
+		if h.Key != 0 && h.Accepted() && c.settings.Grades[h.Grade].InOrder {
 			key := keyOfSender{h.Sender, h.Key}
 			queues[key] = append(queues[key], h)
 		}
 	}
 	for _, queue := range queues {
-		slices.SortStableFunc(queue, func(a, b *Hand) int { return cmp.Compare(a.At, b.At) })
+		slices.SortStableFunc(queue, func(a, b *Submission) int { return cmp.Compare(a.At, b.At) })
 		for i, later := range queue {
 			for _, call := range c.callsByID[later.ID] {
 				for _, earlier := range queue[:i] {
@@ -463,7 +464,7 @@
 			return routeOfSender{}, false
 		}
 		route := routeOfSender{sender: h.Sender, dest: call.Dest}
-		if call.Apart {
+		if call.SeparateRoutes {
 			route.receiver = call.Receiver
 		}
 		return route, true
@@ -476,7 +477,7 @@
 	for i := range c.Calls {
 		asking := &c.Calls[i]
 		route, known := routeOf(asking)
-		if !known || asking.Wait <= 0 || asking.Spoilt {
+		if !known || asking.RequestedWait <= 0 || asking.Malformed {
 			continue
 		}
 		sameRoute := callsByRoute[route]
@@ -484,20 +485,21 @@
 			return sameRoute[i].First > asking.Replied+c.tolerances.Wait
 		})
 		for _, call := range sameRoute[from:] {
-			if call.First >= asking.Replied+asking.Wait-c.tolerances.Slack/10 {
+			if call.First >= asking.Replied+asking.RequestedWait-c.tolerances.Slack/10 {
 				break
 			}
 			if !c.disrupted(route.sender, asking.Replied, call.First) {
 				c.report(Waits, call.ID, "was called %.0f ms into a wait of %.0f ms asked for by the response to %s",
-					call.First-asking.Replied, asking.Wait, asking.ID)
+					call.First-asking.Replied, asking.RequestedWait, asking.ID)
 				break
 			}
 		}
 	}
 }
 
-// Tell formats breaches: the first two of each rule in full, and the number of breaches of a rule that has more.
-func Tell(breaches []Breach) string {
+// FormatBreaches formats breaches: the first two of each rule in full, and the number of breaches of a rule that has
+// more.
+func FormatBreaches(breaches []Breach) string {
 	var b strings.Builder
 	counts := map[Rule]int{}
 	for _, breach := range breaches {
--- a/internal/audit/check_test.go
+++ b/internal/audit/check_test.go
@@ -22,12 +22,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRecord()
-			r.Submitted(Hand{ID: "a", At: 900, Until: 9000})
+			r.Submitted(Submission{ID: "a", At: 900, Until: 9000})
 			r.Answered("a", 202, 901)
-			r.Call(Call{ID: "a", First: 1000, Last: 1000, Before: c.before, Ran: true,
-				Status: 200, Delivered: true, Replied: 1100, Ended: c.ended})
-			r.Outcome(End{ID: "a", Outcome: "given_up", At: 3500})
-			breaches := r.Check(rules.Settings{Fall: 2000, Grades: []rules.Grade{{}}, TripLimit: 1}, Usual, 9999)
+			r.Call(Call{ID: "a", First: 1000, Last: 1000, EarlierCalls: c.before, Ran: true,
+				Status: 200, Delivered: true, Replied: 1100, ConnectionEnded: c.ended})
+			r.Outcome(FinalOutcome{ID: "a", Outcome: "given_up", At: 3500})
+			breaches := r.Check(rules.Settings{OverloadTime: 2000, Grades: []rules.Grade{{}}, TripLimit: 1}, Usual,
+				9999)
 			if allowed := len(breaches) == 0; allowed != c.allowed {
 				t.Errorf("allowed %v: %v", allowed, breaches)
 			}
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -49,8 +49,8 @@
 
 // TestRead decodes a batch with records of most kinds, one with an unknown code, and a list that is sent twice.
 func TestRead(t *testing.T) {
-	entry := rules.Entry{Receiver: 10, Destination: 3, Kind: 2, Zone: 1, Standing: rules.Ready, ListedRate: 10}
-	other := rules.Entry{Receiver: 11, Destination: 3, Kind: 2, Standing: rules.Draining, ListedRate: 10}
+	entry := rules.Entry{Receiver: 10, Destination: 3, Kind: 2, Zone: 1, Status: rules.Ready, ListedRate: 10}
+	other := rules.Entry{Receiver: 11, Destination: 3, Kind: 2, Status: rules.Draining, ListedRate: 10}
 	in := frame(12, oneEntry, listUpdate, otherEntry, listUpdate, "4711 ffff", "1030 0100 00000000000000000000000000",
 		submit, verdict, "1060 0100 4d00000000000000", "1040 0100 07000000", "1000 0100 00 00000000 00", "1090 0100")
 	reader := NewReader(bytes.NewReader(in))
@@ -60,12 +60,12 @@
 	}
 	record := func(content any) Record { return Record{1, content} }
 	want := Batch{Number: 12, Now: 8412.25, Records: []Record{
-		record(rules.ListTold{Whole: true, Entries: []rules.Entry{entry}}),
-		record(rules.ListTold{Whole: true, Entries: []rules.Entry{other}}),
-		record(rules.NoticeTaken{Notice: 7, Grade: 2, Portfolio: 1, Key: 9, Destination: 3,
-			Left: 1000, Inherited: true}),
-		record(rules.TripEnded{Notice: 7, Receiver: 10, Result: rules.Full, Spent: 100, Wait: 300,
-			LimitTold: true, LimitLeft: 0.5, LimitRate: 5}),
+		record(rules.ListUpdated{Complete: true, Entries: []rules.Entry{entry}}),
+		record(rules.ListUpdated{Complete: true, Entries: []rules.Entry{other}}),
+		record(rules.NoticeAccepted{Notice: 7, Grade: 2, Portfolio: 1, Key: 9, Destination: 3,
+			TimeLeft: 1000, Inherited: true}),
+		record(rules.TripEnded{Notice: 7, Receiver: 10, Result: rules.Full, Duration: 100, RequestedWait: 300,
+			LimitReported: true, LimitRemaining: 0.5, LimitRate: 5}),
 		record(rules.TimerDue{Timer: 77}),
 		record(rules.NoticeWithdrawn{Notice: 7}),
 		record(rules.ListFailed{}),
@@ -98,12 +98,15 @@
 	want := rules.Settings{
 		Grades: []rules.Grade{{QuotedTime: 2000, ClientTimeout: 16_000, Credit: 3,
 			LateShare: 0.3, Repeat: rules.Numbered, ZoneOnly: true, RemembersFor: 5000, InOrder: true}},
-		Kinds:  []rules.Kind{{PerCall: 5, Apart: true}, {PerCall: 1}},
+		Kinds:  []rules.Kind{{PerCall: 5, SeparateRoutes: true}, {PerCall: 1}},
 		Quotas: []float64{19}, ZoneFees: []float64{0, 0.03},
-		Senders: 2, Slots: 11, HoldLimit: 241, TripLimit: 12, CallOff: true, Tick: 5, OverShare: 0.2, WholeGoal: 0.45,
-		WorstGoal: 0.2, HalvesLate: true, RetryAfter: true, RetryMost: 3000, ListOnAsk: true, AskWithin: 10_000,
-		ListedError: 0.5, ColdFrom: 0.16, WarmWithin: 10_000, TipMultiple: 2, Fall: 2000, KeyRest: 300,
-		IdleKept: 15_000,
+		Senders: 2, Slots: 11, HoldLimit: 241, TripLimit: 12, CancelTrips: true, Tick: 5, OverQuotaWeight: 0.2,
+		TotalCreditWeight: 0.45,
+		WorstGradeWeight:  0.2, LateCreditHalves: true, RetryAfter: true, MaxRetryAfter: 3000, WatchOnRequest: true,
+		RewatchWithin: 10_000,
+		ListedError:   0.5, ColdCapacity: 0.16, WarmUpTime: 10_000, OverloadFactor: 2, OverloadTime: 2000,
+		KeyCooldown: 300,
+		IdleTimeout: 15_000,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("-want +got:\n%s", diff)
@@ -116,7 +119,7 @@
 	entries := strings.Repeat("0a000000 01 0200 0300 01 00002041 0000000000000000", count)
 	reader := NewReader(bytes.NewReader(frame(3, fmt.Sprintf("1080 05 %08x", 0x0200)+entries, listUpdate)))
 	batch, err := reader.Next()
-	if err != nil || len(batch.Records[0].Content.(rules.ListTold).Entries) != count {
+	if err != nil || len(batch.Records[0].Content.(rules.ListUpdated).Entries) != count {
 		t.Errorf("a list of %d entries: %v", count, err)
 	}
 }
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -72,12 +72,12 @@
 const flagInherited = 16
 
 // standingByCode maps the readiness codes of list entries.
-var standingByCode = map[uint8]rules.Standing{0: rules.Gone, 1: rules.Ready, 2: rules.Draining}
+var standingByCode = map[uint8]rules.ReceiverStatus{0: rules.Gone, 1: rules.Ready, 2: rules.Draining}
 
 // resultByStatus maps the status codes of verdicts.
 var resultByStatus = map[uint8]rules.Result{
 	0: rules.Handled, 5: rules.Errored, 11: rules.Full, 104: rules.Reset, 110: rules.TimedOut,
-	111: rules.NotConnected, 114: rules.Moot, 125: rules.Cancelled,
+	111: rules.NotConnected, 114: rules.NotSent, 125: rules.Cancelled,
 }
 
 // Reader reads batches. It keeps the numbered receiver lists, which all instances of the process share.
@@ -205,7 +205,7 @@
 		if !known {
 			return fmt.Errorf("list %d: entry %d: unknown readiness code", number, i)
 		}
-		entry.Standing = standing
+		entry.Status = standing
 		entry.ListedRate = in.float()
 		in.u64()
 	}
@@ -225,7 +225,7 @@
 	if !known && !in.truncated {
 		return nil, fmt.Errorf("update refers to list %d, which was never sent", number)
 	}
-	return rules.ListTold{Whole: scope != scopeDelta, Entries: entries}, nil
+	return rules.ListUpdated{Complete: scope != scopeDelta, Entries: entries}, nil
 }
 
 // decodeCreated decodes the seed and the settings of a new sender.
@@ -248,9 +248,9 @@
 func decodeTripEnded(in *fields) (any, error) {
 	ended := rules.TripEnded{Notice: rules.NoticeID(in.u32())}
 	statusDetail := in.u32()
-	ended.Spent = millis(in.u32())
+	ended.Duration = millis(in.u32())
 	status := in.u8()
-	ended.Over = in.u8() != 0
+	ended.NoticeEnded = in.u8() != 0
 	in.u8()
 	ended.Receiver = rules.ReceiverID(in.u32())
 	report := in.report()
@@ -260,21 +260,21 @@
 	}
 	ended.Result = result
 	if result == rules.Full {
-		ended.Wait = rules.Millis(statusDetail)
+		ended.RequestedWait = rules.Millis(statusDetail)
 	}
 	if len(report) >= 2 {
-		ended.LimitTold, ended.LimitLeft, ended.LimitRate = true, report[0], report[1]
+		ended.LimitReported, ended.LimitRemaining, ended.LimitRate = true, report[0], report[1]
 	}
 	return ended, nil
 }
 
 // decodeNotice decodes a notice that the sender has accepted.
 func decodeNotice(in *fields) any {
-	notice := rules.NoticeTaken{Notice: rules.NoticeID(in.u32())}
+	notice := rules.NoticeAccepted{Notice: rules.NoticeID(in.u32())}
 	notice.Grade = rules.GradeID(in.u16())
 	notice.Portfolio = rules.PortfolioID(in.u32())
 	notice.Key = rules.KeyID(in.u64())
-	notice.Left = millis(in.u32())
+	notice.TimeLeft = millis(in.u32())
 	in.u32()
 	notice.Destination = destinationID(in.float())
 	notice.Inherited = in.u8()&flagInherited != 0
--- a/internal/calls/answers.go
+++ b/internal/calls/answers.go
@@ -43,7 +43,7 @@
 		return
 	}
 	if conn.call == nil && !conn.readingBody {
-		p.Stale++
+		p.StaleConnections++
 		if bytes.HasPrefix(data, []byte(idleTimeoutPrefix)) {
 			p.drop(conn, "receiver sent status 408: connection idle for too long")
 			return
@@ -82,7 +82,7 @@
 		return
 	}
 	conn.waitUntil = p.now.Add(toDuration(requested))
-	p.requestedWaits = append(p.requestedWaits, rules.WaitTold{Receiver: conn.receiver, Wait: requested})
+	p.requestedWaits = append(p.requestedWaits, rules.WaitRequested{Receiver: conn.receiver, Wait: requested})
 }
 
 // readLate processes bytes on a connection that sends no more requests. The response to an abandoned call may have
@@ -195,7 +195,7 @@
 			"status", message.Status, "after", time.Since(conn.writtenAt), "behind", len(trailing) > 0)
 	}
 	if len(trailing) > 0 && !message.Close {
-		p.Beyond++
+		p.ResponsesWithTrailingBytes++
 	}
 	// A call must have ended at its receiver before it is sent again. Its connection is closed then, instead of
 	// being kept for late responses.
@@ -233,7 +233,7 @@
 	if conn.contradicted(message.Status) {
 		outcome.Result, outcome.MayBeDelivered = rules.Ambiguous, conn.mayBeDelivered(message.Status)
 		if isRefusal(message.Status) {
-			outcome.Wait = p.remainingWait(conn, message)
+			outcome.RequestedWait = p.remainingWait(conn, message)
 		}
 		p.endCall(conn, outcome)
 		return
@@ -244,16 +244,16 @@
 	case 429, 503:
 		outcome.Result = rules.Full
 		if message.Get("x-line-busy") == "1" {
-			outcome.Result = rules.Moot
+			outcome.Result = rules.NotSent
 		} else {
-			outcome.Wait = p.remainingWait(conn, message)
+			outcome.RequestedWait = p.remainingWait(conn, message)
 		}
 	case 504:
-		outcome.Result = rules.Moot
+		outcome.Result = rules.NotSent
 	case 410:
-		outcome.Result, outcome.Over = rules.Moot, true
+		outcome.Result, outcome.NoticeEnded = rules.NotSent, true
 	}
-	outcome.LimitTold, outcome.LimitLeft, outcome.LimitRate = p.parseLoadReport(message.Get("server-load"))
+	outcome.LimitReported, outcome.LimitRemaining, outcome.LimitRate = p.parseLoadReport(message.Get("server-load"))
 	if conn.reused() {
 		initialState := unconfirmed
 		if outcome.Unconfirmed = outcome.Result != rules.Errored; !outcome.Unconfirmed {
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -30,10 +30,10 @@
 	Zone        rules.ZoneID
 	ID, Mark    string // request id and idempotency key of the notice, as its client gave them
 	Body        *buffers.Chain
-	TimeOut     time.Duration
+	Timeout     time.Duration
 
-	Begun      time.Time // set by Send
-	deadline   time.Time // Begun + TimeOut
+	StartedAt  time.Time // set by Send
+	deadline   time.Time // StartedAt + Timeout
 	heapIndex  int       // in Pool.deadlines
 	connection *connection
 	written    bool // the whole request was handed to the connection
@@ -91,21 +91,21 @@
 	// Reports that the owner has not collected yet.
 	ended          []rules.TripEnded
 	established    []rules.ConnectionUp
-	requestedWaits []rules.WaitTold
+	requestedWaits []rules.WaitRequested
 	confirmed      []Confirmation
-	retractions    []Doubt
+	retractions    []Retraction
 	unsolicited    []rules.ReceiverID
 
-	now           time.Time // as set by Begin and At
+	now           time.Time // as set by BeginTurn and SetTime
 	requestBuffer []byte    // reused for the head of each request
 	// lagged reports that the process may have been paused since connections were last read, so that responses may be
 	// unread.
 	lagged bool
 
-	Spoilt  int // malformed responses
-	Beyond  int // well-formed responses followed by more bytes
-	Stale   int // idle connections found closed, or with unsolicited bytes on them
-	Unasked int // times that unsolicited bytes arrived, including bytes that follow a response
+	MalformedResponses         int // malformed responses
+	ResponsesWithTrailingBytes int // well-formed responses followed by more bytes
+	StaleConnections           int // idle connections found closed, or with unsolicited bytes on them
+	UnsolicitedReads           int // times that unsolicited bytes arrived, including bytes that follow a response
 }
 
 // Hooks are the functions of the owner that a Pool calls.
@@ -121,7 +121,7 @@
 }
 
 // New returns a Pool without connections. report names the values of a load report in the order in which the rules
-// use them. Use must be called before the first Send.
+// use them. SetNet must be called before the first Send.
 func New(resources limits.Limits, pool *buffers.Pool, report []string, log *slog.Logger, hooks Hooks) *Pool {
 	return &Pool{limits: resources, buffers: pool, loadReportNames: report, hooks: hooks, log: log,
 		tracing: log.Enabled(context.Background(), slog.LevelDebug), outstanding: map[rules.NoticeID]*Call{},
@@ -129,23 +129,24 @@
 		idle: map[rules.ReceiverID][]*connection{}, connectTimes: map[rules.ReceiverID]time.Duration{}}
 }
 
-// Use sets the network through which connections are opened.
-func (p *Pool) Use(net *sockets.Net) { p.net = net }
+// SetNet sets the network through which connections are opened.
+func (p *Pool) SetNet(net *sockets.Net) { p.net = net }
 
-// Begin starts a turn of the owner's loop at now, and notes whether the last one was longer ago than limits.Lag.
-func (p *Pool) Begin(now time.Time) {
-	p.lagged = now.Sub(p.now) > p.limits.Lag
+// BeginTurn starts a turn of the owner's loop at now, and notes whether the last one was longer ago than
+// limits.MaxTurnLag.
+func (p *Pool) BeginTurn(now time.Time) {
+	p.lagged = now.Sub(p.now) > p.limits.MaxTurnLag
 	p.now = now
 }
 
-// At sets the current time for the following operations of the turn.
-func (p *Pool) At(now time.Time) { p.now = now }
+// SetTime sets the current time for the following operations of the turn.
+func (p *Pool) SetTime(now time.Time) { p.now = now }
 
-// Made returns the number of connections opened so far, whether or not they were established.
-func (p *Pool) Made() int { return int(p.opened) }
+// ConnectionsOpened returns the number of connections opened so far, whether or not they were established.
+func (p *Pool) ConnectionsOpened() int { return int(p.opened) }
 
-// Out returns the number of calls without an outcome.
-func (p *Pool) Out() int { return len(p.outstanding) }
+// Outstanding returns the number of calls without an outcome.
+func (p *Pool) Outstanding() int { return len(p.outstanding) }
 
 // Ended returns the outcomes since it was last called.
 func (p *Pool) Ended() []rules.TripEnded {
@@ -156,7 +157,7 @@
 
 // Send starts a call on an idle connection that has settled, else on one that settles soon, else on a new connection.
 func (p *Pool) Send(call *Call) {
-	call.Begun, call.deadline = p.now, p.now.Add(call.TimeOut)
+	call.StartedAt, call.deadline = p.now, p.now.Add(call.Timeout)
 	p.outstanding[call.Notice] = call
 	heap.Push(&p.deadlines, call)
 	p.byDestination[call.Destination] = append(p.byDestination[call.Destination], call)
@@ -179,7 +180,7 @@
 // connect opens a new connection for a call.
 func (p *Pool) connect(call *Call) {
 	if len(p.connections) >= p.limits.Receivers && !p.closeOldest() {
-		p.finishWithResult(call, rules.Short)
+		p.finishWithResult(call, rules.LocalShortage)
 		return
 	}
 	p.opened++
@@ -194,15 +195,16 @@
 	p.connections[conn.socket] = conn
 }
 
-// Up returns the calls whose connections have become ready since it was last called. Each waits for Write or Recall.
-func (p *Pool) Up() []rules.ConnectionUp {
+// Established returns the calls whose connections have become ready since it was last called. Each waits for Write or
+// Recall.
+func (p *Pool) Established() []rules.ConnectionUp {
 	established := p.established
 	p.established = nil
 	return established
 }
 
-// Waits returns the waits requested since it was last called by responses that are not complete yet.
-func (p *Pool) Waits() []rules.WaitTold {
+// RequestedWaits returns the waits requested since it was last called by responses that are not complete yet.
+func (p *Pool) RequestedWaits() []rules.WaitRequested {
 	waits := p.requestedWaits
 	p.requestedWaits = nil
 	return waits
@@ -221,7 +223,7 @@
 	}
 	conn := call.connection
 	switch {
-	case conn.socket.Quiet():
+	case conn.socket.NothingUnread():
 		p.write(conn)
 	case conn.callsWritten > 0:
 		conn.call = nil
@@ -237,11 +239,11 @@
 // a wait. It looks only if the process may have been paused: otherwise everything received was read at the
 // beginning of the turn.
 func (p *Pool) hasUnreadResponse(call *Call) bool {
-	if !p.lagged && time.Since(p.now) <= p.limits.Lag {
+	if !p.lagged && time.Since(p.now) <= p.limits.MaxTurnLag {
 		return false
 	}
 	return slices.ContainsFunc(p.byDestination[call.Destination], func(other *Call) bool {
-		return other != call && other.written && !other.connection.socket.Quiet()
+		return other != call && other.written && !other.connection.socket.NothingUnread()
 	})
 }
 
@@ -261,10 +263,10 @@
 	call := conn.call
 	if err := p.hooks.Record(call); err != nil {
 		p.unassign(conn)
-		p.finishWithResult(call, rules.Short)
+		p.finishWithResult(call, rules.LocalShortage)
 		return
 	}
-	if conn.callsWritten > 0 && !conn.socket.Quiet() {
+	if conn.callsWritten > 0 && !conn.socket.NothingUnread() {
 		conn.call = nil
 		p.retire(conn)
 		p.finishWithResult(call, rules.Recalled)
@@ -272,13 +274,13 @@
 	}
 	if p.tracing {
 		p.log.Debug(logs.Written, "connection", conn.number, "id", call.ID, "notice", call.Notice,
-			"receiver", call.Receiver, "begun_ago", p.now.Sub(call.Begun), "fresh", conn.callsWritten == 0,
+			"receiver", call.Receiver, "begun_ago", p.now.Sub(call.StartedAt), "fresh", conn.callsWritten == 0,
 			"carried", conn.callsWritten, "rested", conn.timeSinceRead(time.Now()))
 	}
 	conn.callsWritten++
 	conn.statuses = conn.statuses[:0]
 	conn.lastNotice = call.Notice
-	timeLeft := max(call.TimeOut-p.now.Sub(call.Begun), time.Millisecond)
+	timeLeft := max(call.Timeout-p.now.Sub(call.StartedAt), time.Millisecond)
 	fields := []http1.Field{
 		{Name: "Request-Id", Value: call.ID},
 		{Name: "Request-Timeout-Ms", Value: strconv.FormatInt(int64(math.Ceil(timeLeft.Seconds()*1000)), 10)},
@@ -311,13 +313,13 @@
 		delete(p.byDestination, call.Destination)
 	}
 	outcome.Notice, outcome.Receiver = call.Notice, call.Receiver
-	outcome.Spent = rules.Millis(float64(p.now.Sub(call.Begun)) / float64(time.Millisecond))
-	outcome.Over = outcome.Over || outcome.Result == rules.Handled
+	outcome.Duration = rules.Millis(float64(p.now.Sub(call.StartedAt)) / float64(time.Millisecond))
+	outcome.NoticeEnded = outcome.NoticeEnded || outcome.Result == rules.Handled
 	p.ended = append(p.ended, outcome)
 }
 
-// CallOff cancels a call. A call that was not written yet cannot have run, and ends as not connected.
-func (p *Pool) CallOff(notice rules.NoticeID) { p.abandon(p.outstanding[notice], rules.Cancelled) }
+// Cancel cancels a call. A call that was not written yet cannot have run, and ends as not connected.
+func (p *Pool) Cancel(notice rules.NoticeID) { p.abandon(p.outstanding[notice], rules.Cancelled) }
 
 // abandon ends a call before its response is complete. result is its outcome unless the call was not written, or its
 // response has begun with status 200.
@@ -365,8 +367,8 @@
 	return next
 }
 
-// Waiting reports whether there is an outcome or another report that the owner has not collected yet.
-func (p *Pool) Waiting() bool {
+// HasReports reports whether there is an outcome or another report that the owner has not collected yet.
+func (p *Pool) HasReports() bool {
 	return len(p.ended)+len(p.established)+len(p.requestedWaits)+
 		len(p.confirmed)+len(p.retractions)+len(p.unsolicited) > 0
 }
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -64,7 +64,7 @@
 			}()
 		}
 	}()
-	resources := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
+	resources := limits.For(limits.Machine{}, rules.Settings{IdleTimeout: 10_000}, 1000)
 	resources.SettleTime = 0
 	pool := buffers.NewPool(resources.Buffer)
 	h.pool = New(resources, pool, []string{"x0", "x1"}, slog.New(slog.DiscardHandler), Hooks{
@@ -74,7 +74,7 @@
 	if h.net, err = sockets.Start("127.0.0.1:0", resources, pool, h.pool); err != nil {
 		t.Fatal(err)
 	}
-	h.pool.Use(h.net)
+	h.pool.SetNet(h.net)
 	t.Cleanup(func() { receiver.Close(); h.net.Stop() })
 	return h
 }
@@ -86,16 +86,16 @@
 func (h *harness) deliver(response string) {
 	h.lastNotice++
 	h.responses <- response
-	h.pool.At(time.Now())
+	h.pool.SetTime(time.Now())
 	h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: fmt.Sprint(h.lastNotice),
-		TimeOut: 400 * time.Millisecond})
-	for h.pool.Out() > 0 {
+		Timeout: 400 * time.Millisecond})
+	for h.pool.Outstanding() > 0 {
 		h.turn()
 	}
 	first, _, _ := strings.Cut(response, "\r\n")
 	for _, ended := range h.pool.Ended() {
 		fmt.Fprintf(&h.trace, "%d %.24q: result %d, wait %.0f, load report %v, over %v, %d connections, %d idle\n",
-			ended.Notice, first, ended.Result, ended.Wait, ended.LimitTold, ended.Over,
+			ended.Notice, first, ended.Result, ended.RequestedWait, ended.LimitReported, ended.NoticeEnded,
 			len(h.accepted), len(h.pool.idle[0]))
 	}
 }
@@ -103,10 +103,10 @@
 // turn runs one turn of the loop that owns a Pool.
 func (h *harness) turn() {
 	time.Sleep(time.Millisecond)
-	h.pool.At(time.Now())
+	h.pool.SetTime(time.Now())
 	h.pool.Expire()
 	h.net.Gather()
-	for _, up := range h.pool.Up() {
+	for _, up := range h.pool.Established() {
 		h.pool.Write(up.Notice)
 	}
 	h.pool.Sweep()
@@ -175,7 +175,7 @@
 		for i := 0; i < 300 && len(h.pool.connections) > len(h.pool.idle[0]); i++ {
 			h.turn() // a body that does not arrive is waited for
 		}
-		h.pool.LetGo(0)
+		h.pool.CloseIdle(0)
 		if len(h.pool.connections) > 0 {
 			fmt.Fprintf(&h.trace, "  %d connections left\n", len(h.pool.connections))
 		}
@@ -210,14 +210,14 @@
 func TestConnectionEstablishedTooLate(t *testing.T) {
 	h := newHarness(t)
 	now := time.Now()
-	h.pool.At(now)
-	h.pool.Send(&Call{Notice: 1, Address: h.address, ID: "1", TimeOut: time.Minute})
+	h.pool.SetTime(now)
+	h.pool.Send(&Call{Notice: 1, Address: h.address, ID: "1", Timeout: time.Minute})
 	<-h.accepted
 	time.Sleep(50 * time.Millisecond)
-	h.pool.At(now.Add(1100 * time.Millisecond))
+	h.pool.SetTime(now.Add(1100 * time.Millisecond))
 	h.net.Gather()
 	ended := h.pool.Ended()
-	if len(ended) != 1 || ended[0].Result != rules.NotConnected || h.pool.Out() > 0 {
+	if len(ended) != 1 || ended[0].Result != rules.NotConnected || h.pool.Outstanding() > 0 {
 		t.Errorf("outcomes %+v, want notice 1 not connected and no outstanding call", ended)
 	}
 }
@@ -227,16 +227,16 @@
 func TestUnreadResponseHoldsBackCallsAfterProcessPause(t *testing.T) {
 	h := newHarness(t)
 	now := time.Now()
-	h.pool.Begin(now)
-	h.pool.Send(&Call{Notice: 1, Address: h.address, ID: "1", TimeOut: time.Minute})
+	h.pool.BeginTurn(now)
+	h.pool.Send(&Call{Notice: 1, Address: h.address, ID: "1", Timeout: time.Minute})
 	for !h.pool.outstanding[1].written {
 		h.turn()
 	}
 	h.responses <- "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 2\r\n" + shortBody
 	time.Sleep(50 * time.Millisecond) // the response has arrived, but the pool has not read it
-	h.pool.Begin(time.Now())
-	h.pool.Send(&Call{Notice: 2, Address: h.address, ID: "2", TimeOut: time.Minute})
-	h.pool.Send(&Call{Notice: 3, Destination: 7, Address: h.address, ID: "3", TimeOut: time.Minute})
+	h.pool.BeginTurn(time.Now())
+	h.pool.Send(&Call{Notice: 2, Address: h.address, ID: "2", Timeout: time.Minute})
+	h.pool.Send(&Call{Notice: 3, Destination: 7, Address: h.address, ID: "3", Timeout: time.Minute})
 	if ended := h.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.Recalled {
 		t.Errorf("outcomes %+v, want only notice 2 recalled", ended)
 	}
@@ -247,26 +247,26 @@
 func TestShortages(t *testing.T) {
 	h := newHarness(t)
 	h.pool.limits.Receivers = 1
-	h.pool.At(time.Now())
-	h.pool.Send(&Call{Notice: 1, Receiver: 1, Address: h.address, ID: "1", TimeOut: time.Minute})
-	h.pool.Send(&Call{Notice: 2, Receiver: 2, Address: h.address, ID: "2", TimeOut: time.Minute})
-	if ended := h.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.Short {
+	h.pool.SetTime(time.Now())
+	h.pool.Send(&Call{Notice: 1, Receiver: 1, Address: h.address, ID: "1", Timeout: time.Minute})
+	h.pool.Send(&Call{Notice: 2, Receiver: 2, Address: h.address, ID: "2", Timeout: time.Minute})
+	if ended := h.pool.Ended(); len(ended) != 1 || ended[0].Notice != 2 || ended[0].Result != rules.LocalShortage {
 		t.Errorf("outcomes %+v, want only notice 2 ended by a local shortage", ended)
 	}
 	h.responses <- "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	for h.pool.Out() > 0 {
+	for h.pool.Outstanding() > 0 {
 		h.turn()
 	}
 	h.pool.Ended()
-	h.pool.Send(&Call{Notice: 3, Receiver: 2, Address: h.address, ID: "3", TimeOut: time.Minute})
-	if ended := h.pool.Ended(); len(ended) != 0 || h.pool.Out() != 1 {
+	h.pool.Send(&Call{Notice: 3, Receiver: 2, Address: h.address, ID: "3", Timeout: time.Minute})
+	if ended := h.pool.Ended(); len(ended) != 0 || h.pool.Outstanding() != 1 {
 		t.Errorf("outcomes %+v with an idle connection to close, want none and one outstanding call", ended)
 	}
 	h.pool.hooks.Record = func(*Call) error { return fmt.Errorf("the ledger is full") }
-	for h.pool.Out() > 0 {
+	for h.pool.Outstanding() > 0 {
 		h.turn()
 	}
-	if ended := h.pool.Ended(); len(ended) != 1 || ended[0].Result != rules.Short {
+	if ended := h.pool.Ended(); len(ended) != 1 || ended[0].Result != rules.LocalShortage {
 		t.Errorf("outcomes %+v with a full ledger, want one local shortage", ended)
 	}
 	for _, err := range []error{syscall.EMFILE, syscall.EADDRNOTAVAIL} {
--- a/internal/calls/connections.go
+++ b/internal/calls/connections.go
@@ -53,7 +53,7 @@
 	return oldest
 }
 
-// Opened marks a connection as established, and reports through Up that its call is ready to be written. The
+// Opened marks a connection as established, and reports through Established that its call is ready to be written. The
 // sockets package calls it.
 func (p *Pool) Opened(socket *sockets.Conn) {
 	conn := p.connections[socket]
@@ -98,7 +98,7 @@
 	}
 	if !conn.established && call != nil && localShortage(err) {
 		p.drop(conn, reason)
-		p.finishWithResult(call, rules.Short)
+		p.finishWithResult(call, rules.LocalShortage)
 		return
 	}
 	p.connectionFailed(conn, reason)
@@ -129,20 +129,20 @@
 	case !begun && !(conn.established && call != nil && call.written && conn.socket.Written()):
 		outcome.Result = rules.NotConnected
 	case isRefusal(status):
-		outcome.Wait = p.remainingWait(conn, conn.parser.Message())
+		outcome.RequestedWait = p.remainingWait(conn, conn.parser.Message())
 	}
 	p.retractTruncated(conn)
 	p.drop(conn, reason)
 	if call != nil {
 		if begun {
-			p.Spoilt++
+			p.MalformedResponses++
 		}
 		p.finish(call, outcome)
 	}
 }
 
 // stopSending closes the sending side of a connection whose call is abandoned, so that the receiver notices. A
-// response that is already on its way is still read for limits.RestTime, as it may request a wait. The connection
+// response that is already on its way is still read for limits.RemainderTime, as it may request a wait. The connection
 // is closed at once if the request was not sent whole, or if the response has reported its wait or status 200
 // already.
 func (p *Pool) stopSending(conn *connection, reason string) {
@@ -156,16 +156,17 @@
 	conn.call = nil
 }
 
-// LetGo closes the idle connections to a receiver. Those that may still receive a late response are retired instead.
-func (p *Pool) LetGo(receiver rules.ReceiverID) {
+// CloseIdle closes the idle connections to a receiver. Those that may still receive a late response are retired
+// instead.
+func (p *Pool) CloseIdle(receiver rules.ReceiverID) {
 	for _, conn := range append([]*connection(nil), p.idle[receiver]...) {
 		p.closeOrRetire(conn, "idle connections closed on request")
 	}
 }
 
-// Forget closes the connections to a receiver that is no longer listed. Outstanding calls are finished first.
-func (p *Pool) Forget(receiver rules.ReceiverID) {
-	p.LetGo(receiver)
+// RemoveReceiver closes the connections to a receiver that is no longer listed. Outstanding calls are finished first.
+func (p *Pool) RemoveReceiver(receiver rules.ReceiverID) {
+	p.CloseIdle(receiver)
 	delete(p.connectTimes, receiver)
 	for _, conn := range p.connections {
 		if conn.receiver == receiver {
@@ -220,15 +221,15 @@
 }
 
 // Sweep confirms outcomes that are due. It closes connections that have been idle too long, before their receivers
-// would close them, and connections on which the rest of a response did not arrive within limits.RestTime.
+// would close them, and connections on which the rest of a response did not arrive within limits.RemainderTime.
 func (p *Pool) Sweep() {
 	for _, conn := range p.connections {
 		p.confirmDue(conn)
-		if (conn.readingBody || conn.receiveOnly) && p.now.Sub(conn.stateSince) > p.limits.RestTime &&
+		if (conn.readingBody || conn.receiveOnly) && p.now.Sub(conn.stateSince) > p.limits.RemainderTime &&
 			!p.awaitsLateResponse(conn) {
 			p.retractTruncated(conn)
 			p.drop(conn, "response incomplete after the time allowed for its rest")
-		} else if conn.retired && !p.awaitsLateResponse(conn) && p.now.Sub(conn.lastRead) > p.limits.RestTime {
+		} else if conn.retired && !p.awaitsLateResponse(conn) && p.now.Sub(conn.lastRead) > p.limits.RemainderTime {
 			p.drop(conn, "retired")
 		}
 	}
--- a/internal/calls/settling.go
+++ b/internal/calls/settling.go
@@ -46,12 +46,12 @@
 	Trip   int
 }
 
-// Doubt is a retracted outcome: it was reported, but its response may have belonged to another call.
-type Doubt struct {
-	Notice   rules.NoticeID
-	Receiver rules.ReceiverID
-	ID       string    // request id of the notice, as its client gave it
-	Written  time.Time // when the request was written
+// Retraction is a retracted outcome: it was reported, but its response may have belonged to another call.
+type Retraction struct {
+	Notice    rules.NoticeID
+	Receiver  rules.ReceiverID
+	ID        string    // request id of the notice, as its client gave it
+	WrittenAt time.Time // when the request was written
 }
 
 // statusUnknown stands for the status of a response that was not received.
@@ -68,15 +68,15 @@
 	return confirmed
 }
 
-// Doubts returns the outcomes retracted since it was last called.
-func (p *Pool) Doubts() []Doubt {
+// Retractions returns the outcomes retracted since it was last called.
+func (p *Pool) Retractions() []Retraction {
 	retractions := p.retractions
 	p.retractions = nil
 	return retractions
 }
 
-// Surplus returns the receivers that sent unsolicited bytes since it was last called.
-func (p *Pool) Surplus() []rules.ReceiverID {
+// UnsolicitedFrom returns the receivers that sent unsolicited bytes since it was last called.
+func (p *Pool) UnsolicitedFrom() []rules.ReceiverID {
 	receivers := p.unsolicited
 	p.unsolicited = nil
 	return receivers
@@ -109,18 +109,18 @@
 	}
 }
 
-// releaseSettled reports through Up the calls whose connections have settled, and returns when the next one
-// settles. A connection with unread bytes is looked at again after limits.Unheard, when they have been read.
+// releaseSettled reports through Established the calls whose connections have settled, and returns when the next one
+// settles. A connection with unread bytes is looked at again after limits.UnreadRecheckDelay, when they have been read.
 func (p *Pool) releaseSettled() (next time.Time) {
 	p.settling = slices.DeleteFunc(p.settling, func(conn *connection) bool {
 		switch {
 		case conn.call == nil || conn.call.written:
 			return true
-		case p.settled(conn) && conn.socket.Quiet():
+		case p.settled(conn) && conn.socket.NothingUnread():
 			p.established = append(p.established, rules.ConnectionUp{Notice: conn.call.Notice})
 			return true
 		case p.settled(conn):
-			conn.settledAt = p.now.Add(p.limits.Unheard)
+			conn.settledAt = p.now.Add(p.limits.UnreadRecheckDelay)
 		}
 		if next.IsZero() || conn.settledAt.Before(next) {
 			next = conn.settledAt
@@ -137,7 +137,7 @@
 
 // confirmDue confirms the outcomes of a connection whose correct responses would have arrived by now.
 func (p *Pool) confirmDue(conn *connection) {
-	if !conn.readingBody && slices.ContainsFunc(conn.exchanges, p.confirmationDue) && conn.socket.Quiet() {
+	if !conn.readingBody && slices.ContainsFunc(conn.exchanges, p.confirmationDue) && conn.socket.NothingUnread() {
 		p.confirm(conn, p.confirmationDue)
 	}
 }
@@ -175,7 +175,7 @@
 	if ex.state == unconfirmed || ex.state == confirmed {
 		ex.state = retracted
 		p.retractions = append(p.retractions,
-			Doubt{Notice: ex.notice, Receiver: conn.receiver, ID: ex.id, Written: ex.writtenAt})
+			Retraction{Notice: ex.notice, Receiver: conn.receiver, ID: ex.id, WrittenAt: ex.writtenAt})
 	}
 }
 
@@ -202,9 +202,9 @@
 // reportUnsolicited counts and logs bytes that no call had asked for. Nothing had been received for the time
 // silence before them.
 func (p *Pool) reportUnsolicited(conn *connection, silence time.Duration, data []byte) {
-	p.Unasked++
+	p.UnsolicitedReads++
 	p.unsolicited = append(p.unsolicited, conn.receiver)
-	p.log.Warn(logs.Unasked, "connection", conn.number, "receiver", conn.receiver, "last", conn.lastNotice,
+	p.log.Warn(logs.UnsolicitedBytes, "connection", conn.number, "receiver", conn.receiver, "last", conn.lastNotice,
 		"carried", conn.callsWritten, "quiet", silence, "bytes", len(data),
 		"begins", string(data[:min(len(data), maxLoggedBytes)]))
 }
@@ -257,11 +257,11 @@
 		if !p.settled(conn) {
 			continue
 		}
-		if conn.socket.Quiet() {
+		if conn.socket.NothingUnread() {
 			p.removeIdle(conn)
 			return conn
 		}
-		p.Stale++
+		p.StaleConnections++
 		p.retire(conn) // its bytes, or its end, are handled when the sockets are next read
 		idle = p.idle[receiver]
 		i = min(i, len(idle))
--- a/internal/calls/settling_test.go
+++ b/internal/calls/settling_test.go
@@ -52,8 +52,8 @@
 // send starts a call.
 func (h *harness) send() rules.NoticeID {
 	h.lastNotice++
-	h.pool.At(time.Now())
-	h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: fmt.Sprint(h.lastNotice), TimeOut: time.Second})
+	h.pool.SetTime(time.Now())
+	h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: fmt.Sprint(h.lastNotice), Timeout: time.Second})
 	return h.lastNotice
 }
 
@@ -116,13 +116,13 @@
 	for _, c := range h.pool.Confirmed() {
 		fmt.Fprintf(&h.trace, " %d confirmed,", c.Notice)
 	}
-	for _, d := range h.pool.Doubts() {
+	for _, d := range h.pool.Retractions() {
 		fmt.Fprintf(&h.trace, " %d retracted,", d.Notice)
 	}
-	for _, w := range h.pool.Waits() {
+	for _, w := range h.pool.RequestedWaits() {
 		fmt.Fprintf(&h.trace, " wait %.0f,", w.Wait)
 	}
-	fmt.Fprintf(&h.trace, " %d unsolicited\n", len(h.pool.Surplus()))
+	fmt.Fprintf(&h.trace, " %d unsolicited\n", len(h.pool.UnsolicitedFrom()))
 }
 
 // The outcome of a call on a reused connection is confirmed when no other response arrives within the confirmation
@@ -195,8 +195,8 @@
 		io.WriteString(conn, text)
 		h.runFor(400 * time.Millisecond)
 		h.trace.Reset()
-		h.pool.Surplus()
-		h.pool.Waits()
+		h.pool.UnsolicitedFrom()
+		h.pool.RequestedWaits()
 		ended := h.pool.Ended()
 		if len(ended) != 1 || ended[0].Result != rules.Ambiguous ||
 			ended[0].MayBeDelivered != strings.Contains(text, " 200 ") {
@@ -213,7 +213,7 @@
 	h.send()
 	conn := h.awaitCall(callsRead)
 	respond(conn, 200, "")
-	for h.pool.Out() > 0 {
+	for h.pool.Outstanding() > 0 {
 		h.turn()
 	}
 	answered := time.Now()
@@ -226,7 +226,7 @@
 		t.Errorf("call written %v after a response, before the connection had settled", waited)
 	}
 	respond(conn, 200, "")
-	for h.pool.Out() > 0 {
+	for h.pool.Outstanding() > 0 {
 		h.turn()
 	}
 	h.traceEvents("second")
@@ -237,7 +237,7 @@
 		t.Error("the call was written on a connection on which a duplicate response had arrived")
 	}
 	respond(another, 200, "")
-	for h.pool.Out() > 0 {
+	for h.pool.Outstanding() > 0 {
 		h.turn()
 	}
 	h.traceEvents("third")
@@ -255,7 +255,7 @@
 	h.send()
 	conn := h.awaitCall(callsRead)
 	respond(conn, 200, "")
-	for h.pool.Out() > 0 {
+	for h.pool.Outstanding() > 0 {
 		h.turn()
 	}
 	h.send()
@@ -301,8 +301,8 @@
 	for range 40 {
 		h.lastNotice++
 		go func() { respond(<-callsRead, 200, "") }()
-		h.pool.At(time.Now())
-		h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: "2", TimeOut: time.Second, Body: body})
+		h.pool.SetTime(time.Now())
+		h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: "2", Timeout: time.Second, Body: body})
 		h.runFor(settleTime + 10*time.Millisecond)
 		for _, ended := range h.pool.Ended() {
 			if ended.Result != rules.Handled {
@@ -320,10 +320,10 @@
 	for range count {
 		h.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
 	}
-	h.pool.LetGo(0)
-	h.pool.At(time.Now().Add(2 * h.confirmAfter))
+	h.pool.CloseIdle(0)
+	h.pool.SetTime(time.Now().Add(2 * h.confirmAfter))
 	h.pool.Sweep()
-	if reported := len(h.pool.Confirmed()) + len(h.pool.Doubts()); reported != count-1 {
+	if reported := len(h.pool.Confirmed()) + len(h.pool.Retractions()); reported != count-1 {
 		t.Errorf("%d of %d unconfirmed outcomes were confirmed or retracted", reported, count-1)
 	}
 }
@@ -338,8 +338,8 @@
 		h.runFor(settleTime + 5*time.Millisecond)
 		h.traceEvents("duplicate")
 		h.lastNotice++
-		h.pool.At(time.Now())
-		h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: "3", TimeOut: 10 * time.Millisecond})
+		h.pool.SetTime(time.Now())
+		h.pool.Send(&Call{Notice: h.lastNotice, Address: h.address, ID: "3", Timeout: 10 * time.Millisecond})
 		h.awaitCall(callsRead)
 		h.runFor(15 * time.Millisecond)
 		respond(conn, status, "")
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -26,10 +26,10 @@
 type Chart struct {
 	Title, X, Y string
 	LogX, LogY  bool
-	Least, Most float64 // range of the y axis if Most exceeds Least; else the range follows from the values
+	YMin, YMax  float64 // range of the y axis if YMax exceeds YMin; else the range follows from the values
 	Bands       []Band
 	Lines       []Series
-	Points      bool // mark each value with a point
+	MarkPoints  bool // mark each value with a point
 }
 
 // colours is the palette of Okabe and Ito, which people with colour vision deficiency can distinguish.
@@ -50,7 +50,7 @@
 	if c.LogY {
 		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
-	yMin, yMax := c.Least, c.Most
+	yMin, yMax := c.YMin, c.YMax
 	if yMax <= yMin {
 		for _, s := range c.Lines {
 			for i, y := range s.Y {
@@ -85,13 +85,13 @@
 		line.Color, line.Width = colours[i%len(colours)], vg.Points(1.6)
 		marks.Color = line.Color
 		p.Add(line)
-		if c.Points {
+		if c.MarkPoints {
 			p.Add(marks)
 		}
 		p.Legend.Add(s.Name, line)
 	}
-	if c.Most > c.Least {
-		p.Y.Min, p.Y.Max = c.Least, c.Most
+	if c.YMax > c.YMin {
+		p.Y.Min, p.Y.Max = c.YMin, c.YMax
 	}
 	if err := p.Save(18*vg.Centimeter, 10*vg.Centimeter, path); err != nil {
 		return fmt.Errorf("writing the chart %s: %w", path, err)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -24,8 +24,8 @@
 // Unwrap returns the wrapped error.
 func (w UsageError) Unwrap() error { return w.Err }
 
-// Misused formats a UsageError.
-func Misused(format string, args ...any) error { return UsageError{fmt.Errorf(format, args...)} }
+// UsageErrorf formats a UsageError.
+func UsageErrorf(format string, args ...any) error { return UsageError{fmt.Errorf(format, args...)} }
 
 // Args wraps a check of the positional arguments so that its error is a UsageError.
 func Args(check cobra.PositionalArgs) cobra.PositionalArgs {
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -19,7 +19,7 @@
 		{Name: "how", Kind: Choice, Choices: []string{"a", "b"}, Default: `"a"`},
 		{Name: "yes", Kind: Flag, Default: "true"},
 	}},
-	{Name: "each", Many: true, Least: 1, Keys: []Key{
+	{Name: "each", Repeated: true, MinCount: 1, Keys: []Key{
 		{Name: "id", Kind: Text, Required: true}, {Name: "n", Kind: Number}}},
 }
 
@@ -44,11 +44,12 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	one := f.One("one")
-	seed, set := f.One("").Seed("seed")
-	got := []any{f.One("").Text("name"), seed, set, one.Number("for"), one.Number("room"),
-		one.Number("pace"), one.Number("part"), one.Int("many"), one.Text("how"), one.Flag("yes"), len(f.All("each")),
-		f.All("each")[0].Number("n"), f.All("each")[1].Text("id")}
+	one := f.Section("one")
+	seed, set := f.Section("").Seed("seed")
+	got := []any{f.Section("").Text("name"), seed, set, one.Number("for"), one.Number("room"),
+		one.Number("pace"), one.Number("part"), one.Int("many"), one.Text("how"), one.Flag("yes"),
+		len(f.Sections("each")),
+		f.Sections("each")[0].Number("n"), f.Sections("each")[1].Text("id")}
 	want := []any{"x", uint64(255), true, 500.0, float64(64 << 20), 20.0, 0.5, 1000, "b", false, 2, -1.5, "second"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -113,7 +114,7 @@
 	f.Add([]byte("one = {for = 1}\n[a.b]\nc.d = [1, 2]\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, faults := Read("f", text, table)
-		if file.One("one").Number("for") < 1 || file.One("one").Number("for") > 1000 {
+		if file.Section("one").Number("for") < 1 || file.Section("one").Number("for") > 1000 {
 			t.Errorf("out of range, with faults %v", faults)
 		}
 	})
--- a/internal/conf/read.go
+++ b/internal/conf/read.go
@@ -48,8 +48,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Or returns the faults as an error, or nil if there are none.
-func (f Faults) Or() error {
+// ErrorOrNil returns the faults as an error, or nil if there are none.
+func (f Faults) ErrorOrNil() error {
 	if len(f) == 0 {
 		return nil
 	}
@@ -160,11 +160,11 @@
 	switch {
 	case section == nil || path == "":
 		return reject("unknown section", "one of "+f.table.sectionNames())
-	case section.Many && !isArray:
+	case section.Repeated && !isArray:
 		return reject("this section can be repeated", "[["+path+"]]")
-	case !section.Many && isArray:
+	case !section.Repeated && isArray:
 		return reject("this section cannot be repeated", "["+path+"]")
-	case !section.Many && len(f.blocks[path]) > 0:
+	case !section.Repeated && len(f.blocks[path]) > 0:
 		return f.blocks[path][0], path, false
 	}
 	return f.addBlock(section, line), path, false
@@ -227,11 +227,11 @@
 func (f *File) addMissing() {
 	for i := range f.table {
 		section := &f.table[i]
-		if count := len(f.blocks[section.Name]); section.Many && count < section.Least {
+		if count := len(f.blocks[section.Name]); section.Repeated && count < section.MinCount {
 			f.faults = append(f.faults, Fault{f.Name, 0, section.Name, fmt.Sprintf("was found %d times", count),
-				fmt.Sprintf("[[%s]] at least %d times", section.Name, section.Least)})
+				fmt.Sprintf("[[%s]] at least %d times", section.Name, section.MinCount)})
 		}
-		if !section.Many && len(f.blocks[section.Name]) == 0 {
+		if !section.Repeated && len(f.blocks[section.Name]) == 0 {
 			f.addBlock(section, 0)
 		}
 		for _, block := range f.blocks[section.Name] {
@@ -246,14 +246,14 @@
 	}
 }
 
-// One returns the block of a section that cannot be repeated.
-func (f *File) One(section string) *Block { return f.blocks[section][0] }
+// Section returns the block of a section that cannot be repeated.
+func (f *File) Section(section string) *Block { return f.blocks[section][0] }
 
-// All returns the blocks of a section that can be repeated, in the file's order.
-func (f *File) All(section string) []*Block { return f.blocks[section] }
+// Sections returns the blocks of a section that can be repeated, in the file's order.
+func (f *File) Sections(section string) []*Block { return f.blocks[section] }
 
-// Wrong records a fault of a key that the table cannot check, such as one that depends on other keys.
-func (f *File) Wrong(block *Block, key, problem, expected string) {
+// AddFault records a fault of a key that the table cannot check, such as one that depends on other keys.
+func (f *File) AddFault(block *Block, key, problem, expected string) {
 	line := block.Line
 	if keyLine := block.lines[key]; keyLine > 0 {
 		line = keyLine
--- a/internal/conf/table.go
+++ b/internal/conf/table.go
@@ -48,13 +48,13 @@
 	Doc      string
 }
 
-// Section is a TOML table, or with Many an array of tables. The section without a name holds the top-level keys.
+// Section is a TOML table, or with Repeated an array of tables. The section without a name holds the top-level keys.
 type Section struct {
-	Name  string
-	Many  bool
-	Least int // with Many: the minimum number of tables
-	Doc   string
-	Keys  []Key
+	Name     string
+	Repeated bool
+	MinCount int // with Repeated: the minimum number of tables
+	Doc      string
+	Keys     []Key
 }
 
 // Table is all sections that a file may have.
@@ -210,10 +210,10 @@
 }
 
 // format formats a number of the key's kind.
-func (k *Key) format(n float64) string { return Show(k.Kind, n) }
+func (k *Key) format(n float64) string { return FormatNumber(k.Kind, n) }
 
-// Show formats a number of a kind as written in a file, without quotes.
-func Show(kind Kind, n float64) string {
+// FormatNumber formats a number of a kind as written in a file, without quotes.
+func FormatNumber(kind Kind, n float64) string {
 	switch kind {
 	case Span:
 		return time.Duration(math.Round(n * float64(time.Millisecond))).String()
@@ -236,13 +236,13 @@
 	return strconv.FormatFloat(n, 'f', -1, 64)
 }
 
-// Page returns the documentation of the table in Markdown, with one heading per section.
-func (t Table) Page() string {
+// Markdown returns the documentation of the table in Markdown, with one heading per section.
+func (t Table) Markdown() string {
 	var page strings.Builder
 	for _, section := range t {
 		name := "Top level"
 		switch {
-		case section.Many:
+		case section.Repeated:
 			name = "`[[" + section.Name + "]]`"
 		case section.Name != "":
 			name = "`[" + section.Name + "]`"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 type Config struct {
 	Name, Listen, Discovery, State string
 	Seed                           uint64
-	Drawn                          bool // the file sets no seed, and Seed is random
+	RandomSeed                     bool // the file sets no seed, and Seed is random
 	Format, Level                  string
 	Machine                        limits.Machine
 	Settings                       rules.Settings
@@ -48,7 +48,7 @@
 	if state != "" {
 		config.State = state
 	}
-	return config, nil, faults.Or()
+	return config, nil, faults.ErrorOrNil()
 }
 
 // IsJSON reports whether a file is the platform's JSON and not TOML: its name ends in .json or its text begins with {.
@@ -59,31 +59,31 @@
 // FromTOML reads a configuration in TOML.
 func FromTOML(name string, text []byte) (Config, conf.Faults) {
 	file, _ := conf.Read(name, text, Table)
-	top, log, machine := file.One(""), file.One("log"), file.One("machine")
+	top, log, machine := file.Section(""), file.Section("log"), file.Section("machine")
 	config := Config{Name: top.Text("name"), Listen: top.Text("listen"), Discovery: top.Text("discovery"),
 		State: top.Text("state"), Format: log.Text("format"), Level: log.Text("level"),
 		Machine: limits.Machine{MemoryMB: int(machine.Number("memory") / (1 << 20)), Sockets: machine.Int("sockets"),
 			DiskMB: machine.Number("disk") / 1e6, Cores: machine.Number("cores")}}
 	seed, given := top.Seed("seed")
-	if config.Seed, config.Drawn = seed, !given; config.Drawn {
+	if config.Seed, config.RandomSeed = seed, !given; config.RandomSeed {
 		config.Seed = randomSeed()
 	}
 	config.Settings, config.Names = Read(file)
 	config.Known.Complete = true
 	seen := map[string]bool{}
-	for _, block := range file.All("receiver") {
+	for _, block := range file.Sections("receiver") {
 		member := directory.Member{ID: block.Text("id"), HostPort: block.Text("address"), Locality: block.Text("zone"),
 			Flavor: block.Text("kind"), Cell: int64(block.Number("destination")), Phase: block.Text("standing"),
 			Size: block.Number("rate")}
 		if seen[member.ID] {
-			file.Wrong(block, "id", fmt.Sprintf("%q is used more than once", member.ID), "a unique id")
+			file.AddFault(block, "id", fmt.Sprintf("%q is used more than once", member.ID), "a unique id")
 		}
 		if member.Flavor != "" && settings.Index(config.Names.Kinds, member.Flavor) == len(config.Names.Kinds) {
-			file.Wrong(block, "kind", fmt.Sprintf("no [[kind]] has the name %q", member.Flavor),
+			file.AddFault(block, "kind", fmt.Sprintf("no [[kind]] has the name %q", member.Flavor),
 				"one of "+joinOrNone(config.Names.Kinds))
 		}
 		if member.Locality != "" && settings.Index(config.Names.Zones, member.Locality) == len(config.Names.Zones) {
-			file.Wrong(block, "zone", fmt.Sprintf("no [[zone]] has the name %q", member.Locality),
+			file.AddFault(block, "zone", fmt.Sprintf("no [[zone]] has the name %q", member.Locality),
 				"one of "+joinOrNone(config.Names.Zones))
 		}
 		seen[member.ID] = true
@@ -118,41 +118,43 @@
 
 // Read decodes the sections of Sending, and records the faults that concern several of their keys.
 func Read(file *conf.File) (rules.Settings, settings.Names) {
-	sending, goal, dismissal, recovery, report := file.One("sending"), file.One("goal"), file.One("dismissal"),
-		file.One("return"), file.One("report")
+	sending, goal, dismissal, recovery, report := file.Section("sending"), file.Section("goal"),
+		file.Section("dismissal"),
+		file.Section("return"), file.Section("report")
 	span := func(b *conf.Block, key string) rules.Millis { return rules.Millis(b.Number(key)) }
 	decoded := rules.Settings{
 		Senders: sending.Int("senders"), Slots: sending.Int("slots"),
 		HoldLimit: sending.Int("hold"), TripLimit: sending.Int("trips"),
-		CallOff: sending.Flag("call_off"), Tick: span(sending, "tick"), IdleKept: span(sending, "idle_kept"),
-		KeyRest: span(sending, "key_rest"), ListOnAsk: sending.Text("list") == "asked",
-		AskWithin: span(sending, "ask_within"), ListedError: listedRateErrors[sending.Text("listed_rates")],
-		WholeGoal: goal.Number("whole"), WorstGoal: goal.Number("worst_grade"), OverShare: goal.Number("over_share"),
-		HalvesLate: goal.Text("late") == "by-halves",
-		RetryAfter: dismissal.Flag("retry_after"), RetryMost: span(dismissal, "retry_most"),
-		ColdFrom: recovery.Number("cold_from"), WarmWithin: span(recovery, "warm"),
-		TipMultiple: recovery.Number("multiple"), Fall: span(recovery, "fall"),
+		CancelTrips: sending.Flag("call_off"), Tick: span(sending, "tick"), IdleTimeout: span(sending, "idle_kept"),
+		KeyCooldown: span(sending, "key_rest"), WatchOnRequest: sending.Text("list") == "asked",
+		RewatchWithin: span(sending, "ask_within"), ListedError: listedRateErrors[sending.Text("listed_rates")],
+		TotalCreditWeight: goal.Number("whole"), WorstGradeWeight: goal.Number("worst_grade"),
+		OverQuotaWeight:  goal.Number("over_share"),
+		LateCreditHalves: goal.Text("late") == "by-halves",
+		RetryAfter:       dismissal.Flag("retry_after"), MaxRetryAfter: span(dismissal, "retry_most"),
+		ColdCapacity: recovery.Number("cold_from"), WarmUpTime: span(recovery, "warm"),
+		OverloadFactor: recovery.Number("multiple"), OverloadTime: span(recovery, "fall"),
 	}
 	names := settings.Names{ConnectTime: span(sending, "connect_time")}
 	if left, limit := report.Text("left"), report.Text("limit"); left != "" && limit != "" {
 		names.Report = []string{left, limit}
 	} else if left != limit {
-		file.Wrong(report, "left", "only one of left and limit is empty", "two field names, or both empty")
+		file.AddFault(report, "left", "only one of left and limit is empty", "two field names, or both empty")
 	}
 	addName := func(block *conf.Block, names *[]string) {
 		text := block.Text("name")
 		for _, n := range *names {
 			if n == text {
-				file.Wrong(block, "name", fmt.Sprintf("%q is used more than once", text), "a unique name")
+				file.AddFault(block, "name", fmt.Sprintf("%q is used more than once", text), "a unique name")
 			}
 		}
 		if !isHeaderValue(text) && block.IsSet("name") {
-			file.Wrong(block, "name", fmt.Sprintf("%q can't be sent in a header", text),
+			file.AddFault(block, "name", fmt.Sprintf("%q can't be sent in a header", text),
 				"1 to 256 printable ASCII characters")
 		}
 		*names = append(*names, text)
 	}
-	for _, block := range file.All("grade") {
+	for _, block := range file.Sections("grade") {
 		addName(block, &names.Grades)
 		grade := rules.Grade{QuotedTime: span(block, "quoted"), ClientTimeout: span(block, "timeout"),
 			Credit:    block.Number("credit"),
@@ -160,27 +162,27 @@
 			ZoneOnly:     block.Flag("zone_only"),
 			RemembersFor: span(block, "remembers"), InOrder: block.Flag("in_order")}
 		if block.IsSet("quoted") && block.IsSet("timeout") && grade.ClientTimeout < grade.QuotedTime {
-			file.Wrong(block, "timeout", "is shorter than the quoted time",
-				"at least "+conf.Show(conf.Span, float64(grade.QuotedTime)))
+			file.AddFault(block, "timeout", "is shorter than the quoted time",
+				"at least "+conf.FormatNumber(conf.Span, float64(grade.QuotedTime)))
 		}
 		if grade.Repeat == rules.Numbered && grade.RemembersFor == 0 {
-			file.Wrong(block, "remembers", "is required for a numbered grade", `a span such as "60s"`)
+			file.AddFault(block, "remembers", "is required for a numbered grade", `a span such as "60s"`)
 		}
 		if grade.Repeat != rules.Numbered && (grade.ZoneOnly || grade.RemembersFor > 0) {
-			file.Wrong(block, "repeat", "zone_only and remembers apply only to numbered grades",
+			file.AddFault(block, "repeat", "zone_only and remembers apply only to numbered grades",
 				"numbered, or neither key")
 		}
 		decoded.Grades = append(decoded.Grades, grade)
 	}
-	for _, block := range file.All("portfolio") {
+	for _, block := range file.Sections("portfolio") {
 		addName(block, &names.Portfolios)
 		decoded.Quotas = append(decoded.Quotas, block.Number("quota"))
 	}
-	for _, block := range file.All("kind") {
+	for _, block := range file.Sections("kind") {
 		addName(block, &names.Kinds)
-		decoded.Kinds = append(decoded.Kinds, rules.Kind{PerCall: 1, Apart: block.Flag("apart")})
+		decoded.Kinds = append(decoded.Kinds, rules.Kind{PerCall: 1, SeparateRoutes: block.Flag("apart")})
 	}
-	for _, block := range file.All("zone") {
+	for _, block := range file.Sections("zone") {
 		addName(block, &names.Zones)
 		decoded.ZoneFees = append(decoded.ZoneFees, block.Number("fee"))
 	}
@@ -312,7 +314,7 @@
 	writeText := func(key, value string) { fmt.Fprintf(&out, "%s = %s\n", key, strconv.Quote(value)) }
 	writeValue := func(key string, value any) { fmt.Fprintf(&out, "%s = %v\n", key, value) }
 	writeNumber := func(key string, value float64) { writeValue(key, strconv.FormatFloat(value, 'f', -1, 64)) }
-	writeKind := func(kind conf.Kind, key string, value float64) { writeText(key, conf.Show(kind, value)) }
+	writeKind := func(kind conf.Kind, key string, value float64) { writeText(key, conf.FormatNumber(kind, value)) }
 	writeSpan := func(key string, m rules.Millis) { writeKind(conf.Span, key, float64(m)) }
 	writeHeader := func(name string) { fmt.Fprintf(&out, "\n%s\n", name) }
 	choose := func(condition bool, yes, no string) string {
@@ -325,7 +327,7 @@
 	writeText("listen", c.Listen)
 	writeText("discovery", c.Discovery)
 	writeText("state", c.State)
-	if !c.Drawn {
+	if !c.RandomSeed {
 		writeText("seed", strconv.FormatUint(c.Seed, 16))
 	}
 	writeHeader("[log]")
@@ -342,28 +344,28 @@
 	writeValue("slots", values.Slots)
 	writeValue("hold", values.HoldLimit)
 	writeValue("trips", values.TripLimit)
-	writeValue("call_off", values.CallOff)
+	writeValue("call_off", values.CancelTrips)
 	writeSpan("tick", values.Tick)
-	writeSpan("idle_kept", values.IdleKept)
+	writeSpan("idle_kept", values.IdleTimeout)
 	writeSpan("connect_time", c.Names.ConnectTime)
-	writeSpan("key_rest", values.KeyRest)
-	writeText("list", choose(values.ListOnAsk, "asked", "watched"))
-	writeSpan("ask_within", values.AskWithin)
+	writeSpan("key_rest", values.KeyCooldown)
+	writeText("list", choose(values.WatchOnRequest, "asked", "watched"))
+	writeSpan("ask_within", values.RewatchWithin)
 	writeText("listed_rates",
 		choose(values.ListedError < 0, "none", choose(values.ListedError == 0, "nominal", "rough")))
 	writeHeader("[goal]")
-	writeNumber("whole", values.WholeGoal)
-	writeNumber("worst_grade", values.WorstGoal)
-	writeNumber("over_share", values.OverShare)
-	writeText("late", choose(values.HalvesLate, "by-halves", "evenly"))
+	writeNumber("whole", values.TotalCreditWeight)
+	writeNumber("worst_grade", values.WorstGradeWeight)
+	writeNumber("over_share", values.OverQuotaWeight)
+	writeText("late", choose(values.LateCreditHalves, "by-halves", "evenly"))
 	writeHeader("[dismissal]")
 	writeValue("retry_after", values.RetryAfter)
-	writeSpan("retry_most", values.RetryMost)
+	writeSpan("retry_most", values.MaxRetryAfter)
 	writeHeader("[return]")
-	writeNumber("cold_from", values.ColdFrom)
-	writeSpan("warm", values.WarmWithin)
-	writeNumber("multiple", values.TipMultiple)
-	writeSpan("fall", values.Fall)
+	writeNumber("cold_from", values.ColdCapacity)
+	writeSpan("warm", values.WarmUpTime)
+	writeNumber("multiple", values.OverloadFactor)
+	writeSpan("fall", values.OverloadTime)
 	writeHeader("[report]")
 	writeText("left", settings.Name(c.Names.Report, 0))
 	writeText("limit", settings.Name(c.Names.Report, 1))
@@ -393,7 +395,7 @@
 	for i, kind := range values.Kinds {
 		writeHeader("[[kind]]")
 		writeText("name", c.Names.Kinds[i])
-		writeValue("apart", kind.Apart)
+		writeValue("apart", kind.SeparateRoutes)
 	}
 	for i, zone := range c.Names.Zones {
 		writeHeader("[[zone]]")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -127,7 +127,7 @@
 // TestPages checks that the pages of keys and log events match the tables that the program uses.
 func TestPages(t *testing.T) {
 	for path, made := range map[string]string{
-		"../../docs/configuration.md": Table.Page(), "../../docs/logs.md": logs.Page()} {
+		"../../docs/configuration.md": Table.Markdown(), "../../docs/logs.md": logs.Markdown()} {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -54,7 +54,7 @@
 		{Name: "fall", Kind: conf.Span, Default: `"2s"`, Min: 1, Max: 600_000,
 			Doc: "see `multiple`; other decisions use this time too"},
 	}},
-	{Name: "grade", Many: true, Least: 1, Doc: "A grade, which is a service class.", Keys: []conf.Key{
+	{Name: "grade", Repeated: true, MinCount: 1, Doc: "A grade, which is a service class.", Keys: []conf.Key{
 		{Name: "name", Kind: conf.Text, Required: true, Doc: "value of the clients' `Request-Class` header"},
 		{Name: "quoted", Kind: conf.Span, Required: true, Min: 1, Max: 86_400_000,
 			Doc: "the quoted time: a notice that is handled by then earns full credit"},
@@ -72,17 +72,17 @@
 		{Name: "in_order", Kind: conf.Flag, Default: "false",
 			Doc: "notices with the same `Affinity-Key` are sent one at a time, in the order of their acceptance"},
 	}},
-	{Name: "portfolio", Many: true, Doc: "A portfolio: a tenant and its share.", Keys: []conf.Key{
+	{Name: "portfolio", Repeated: true, Doc: "A portfolio: a tenant and its share.", Keys: []conf.Key{
 		{Name: "name", Kind: conf.Text, Required: true, Doc: "value of the clients' `Tenant` header"},
 		{Name: "quota", Kind: conf.Rate, Required: true, Max: 1e9,
 			Doc: "its share in notices per second, over all senders together"},
 	}},
-	{Name: "kind", Many: true, Doc: "A kind of destination.", Keys: []conf.Key{
+	{Name: "kind", Repeated: true, Doc: "A kind of destination.", Keys: []conf.Key{
 		{Name: "name", Kind: conf.Text, Required: true, Doc: "its name in the field `flavor` of the receiver list"},
 		{Name: "apart", Kind: conf.Flag, Default: "false",
 			Doc: "whether its receivers are separate routes, each with its own limit, requested wait and breaker"},
 	}},
-	{Name: "zone", Many: true, Doc: "A zone that contains receivers.", Keys: []conf.Key{
+	{Name: "zone", Repeated: true, Doc: "A zone that contains receivers.", Keys: []conf.Key{
 		{Name: "name", Kind: conf.Text, Required: true, Doc: "its name in the field `locality` of the receiver list"},
 		{Name: "fee", Kind: conf.Number, Default: "0", Max: 1e6,
 			Doc: "price of a notice at a receiver in this zone, where receivers are separate routes"},
@@ -121,7 +121,7 @@
 		{Name: "cores", Kind: conf.Number, Default: "1", Min: 0.01, Max: 1024,
 			Doc: "processor cores, or a fraction of one"},
 	}},
-}, append(Sending, conf.Section{Name: "receiver", Many: true,
+}, append(Sending, conf.Section{Name: "receiver", Repeated: true,
 	Doc: "A receiver that the sender knows before discovery has listed any. Discovery's list replaces these receivers.",
 	Keys: []conf.Key{
 		{Name: "id", Kind: conf.Text, Required: true, Doc: "its id in discovery's list"},
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -34,7 +34,8 @@
 	Size     float64 `json:"size"`
 }
 
-var standingByPhase = map[string]rules.Standing{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone}
+var statusByPhase = map[string]rules.ReceiverStatus{"ready": rules.Ready, "draining": rules.Draining,
+	"gone": rules.Gone}
 
 // maxRetired is the number of removed receivers whose identities are remembered.
 const maxRetired = 1024
@@ -56,7 +57,7 @@
 	retired           map[string]identity          // removed receivers, by receiver ID
 	retiredOrder      []string                     // oldest first; may still contain IDs that are listed again
 	knownDestinations map[rules.DestinationID]bool // ever listed: notices for them are held while they have no receiver
-	removed           []rules.ReceiverID           // not yet returned by Gone
+	removed           []rules.ReceiverID           // not yet returned by TakeRemoved
 	lastNumber        rules.ReceiverID
 	Addresses         map[rules.ReceiverID]string
 	Zones             map[rules.ReceiverID]rules.ZoneID
@@ -72,20 +73,20 @@
 // Knows reports whether a destination has ever been listed.
 func (r *Receivers) Knows(d rules.DestinationID) bool { return r.knownDestinations[d] }
 
-// Gone returns the receivers removed from the list since the last call.
-func (r *Receivers) Gone() []rules.ReceiverID {
+// TakeRemoved returns the receivers removed from the list since the last call.
+func (r *Receivers) TakeRemoved() []rules.ReceiverID {
 	removed := r.removed
 	r.removed = nil
 	return removed
 }
 
-// Told applies a list and returns it in the form that the decision module uses. Receivers that the list removes are
+// Apply applies a list and returns it in the form that the decision module uses. Receivers that the list removes are
 // removed from Addresses and Zones at once.
-func (r *Receivers) Told(list List) (rules.ListTold, error) {
-	update := rules.ListTold{Whole: list.Complete}
+func (r *Receivers) Apply(list List) (rules.ListUpdated, error) {
+	update := rules.ListUpdated{Complete: list.Complete}
 	present := map[string]bool{}
 	for _, member := range list.Members {
-		standing, known := standingByPhase[member.Phase]
+		standing, known := statusByPhase[member.Phase]
 		if !known || member.ID == "" || member.Cell < 0 || member.Cell > 1<<30 ||
 			standing != rules.Gone && member.HostPort == "" {
 			return update, fmt.Errorf("entry %q is invalid: cell %d, phase %q, address %q",
@@ -100,21 +101,21 @@
 	}
 	slices.SortFunc(update.Entries, func(a, b rules.Entry) int { return cmp.Compare(a.Receiver, b.Receiver) })
 	for _, member := range list.Members {
-		if !present[member.ID] || standingByPhase[member.Phase] == rules.Gone {
+		if !present[member.ID] || statusByPhase[member.Phase] == rules.Gone {
 			continue
 		}
 		known := r.identify(member, &update)
 		r.Addresses[known.number], r.Zones[known.number], r.knownDestinations[known.destination] =
 			member.HostPort, known.zone, true
 		update.Entries = append(update.Entries, rules.Entry{Receiver: known.number, Destination: known.destination,
-			Standing: standingByPhase[member.Phase], Kind: known.kind, Zone: known.zone, ListedRate: member.Size})
+			Status: statusByPhase[member.Phase], Kind: known.kind, Zone: known.zone, ListedRate: member.Size})
 	}
 	return update, nil
 }
 
 // identify returns the identity of a listed receiver. If the ID now stands for another destination, kind or zone,
 // it is another receiver and gets a new number.
-func (r *Receivers) identify(member Member, update *rules.ListTold) identity {
+func (r *Receivers) identify(member Member, update *rules.ListUpdated) identity {
 	current := identity{destination: rules.DestinationID(member.Cell),
 		kind: rules.KindID(settings.Index(r.names.Kinds, member.Flavor)),
 		zone: rules.ZoneID(settings.Index(r.names.Zones, member.Locality))}
@@ -137,10 +138,10 @@
 
 // remove takes a receiver off the list and adds the removal to update. The identity stays among the retired ones
 // until maxRetired later removals.
-func (r *Receivers) remove(id string, update *rules.ListTold) {
+func (r *Receivers) remove(id string, update *rules.ListUpdated) {
 	known := r.listed[id]
 	r.removed = append(r.removed, known.number)
-	update.Entries = append(update.Entries, rules.Entry{Receiver: known.number, Standing: rules.Gone})
+	update.Entries = append(update.Entries, rules.Entry{Receiver: known.number, Status: rules.Gone})
 	delete(r.listed, id)
 	delete(r.Addresses, known.number)
 	delete(r.Zones, known.number)
@@ -151,15 +152,15 @@
 	}
 }
 
-// End is the final outcome of one notice, in the form in which it is reported to the platform.
-type End struct {
+// FinalOutcome is the final outcome of one notice, in the form in which it is reported to the platform.
+type FinalOutcome struct {
 	Notice    rules.NoticeID `json:"-"`
 	Message   string         `json:"message"`
 	Outcome   string         `json:"outcome"`
 	RetryInMS float64        `json:"retry_in_ms,omitempty"`
 }
 
-// The values of End.Outcome.
+// The values of FinalOutcome.Outcome.
 const (
 	GivenUp    = "given_up"    // broken off: the notice may have taken effect
 	HandedBack = "handed_back" // dismissed: trying the notice again is harmless
@@ -174,39 +175,39 @@
 	address   string
 	receivers *Receivers
 
-	watch, reports exchange
-	revision       int64
-	needsFullList  bool // the next watch asks for the complete list
-	watching       bool
-	lists          []rules.ListTold // not yet returned by Lists
-	watchFailed    bool             // a watch has failed since the last call of Lists
-	Broken         int              // number of responses that could not be used
-	Why            string           // the reason of the last of these, until the caller clears it
+	watch, reports    exchange
+	revision          int64
+	needsFullList     bool // the next watch asks for the complete list
+	watching          bool
+	lists             []rules.ListUpdated // not yet returned by TakeLists
+	watchFailed       bool                // a watch has failed since the last call of TakeLists
+	UnusableResponses int                 // number of responses that could not be used
+	LastFault         string              // the reason of the last of these, until the caller clears it
 
-	pending   []End            // not yet confirmed with status 204
+	pending   []FinalOutcome   // not yet confirmed with status 204
 	inFlight  int              // how many of pending, from the first on, the current request contains
 	maxBatch  int              // how many the next request may contain; 0: as many as fit
-	confirmed []rules.NoticeID // not yet returned by Told
+	confirmed []rules.NoticeID // not yet returned by TakeConfirmed
 	now       time.Time
 }
 
 // New returns a Directory that starts from a list of the given revision, which the receivers already contain.
 func New(address string, lim limits.Limits, pool *buffers.Pool, receivers *Receivers, revision int64) *Directory {
 	d := &Directory{limits: lim, pool: pool, address: address, receivers: receivers, revision: revision}
-	d.watch = exchange{directory: d, maxBody: lim.List, onResponse: d.handleList,
+	d.watch = exchange{directory: d, maxBody: lim.ReceiverListBytes, onResponse: d.handleList,
 		onFailure: func() { d.watchFailed = true }}
 	d.reports = exchange{directory: d, maxBody: lim.Body, singleUse: true, onResponse: d.handleReportResponse,
 		onFailure: func() { d.inFlight = 0 }}
 	return d
 }
 
-// Use sets the network through which the requests are sent.
-func (d *Directory) Use(net *sockets.Net) { d.net = net }
+// SetNet sets the network through which the requests are sent.
+func (d *Directory) SetNet(net *sockets.Net) { d.net = net }
 
-// Move switches to another platform address after a change of the configuration. The complete list is requested
+// SetAddress switches to another platform address after a change of the configuration. The complete list is requested
 // from the new address, because its revisions need not continue those of the old one, and it receives every report
 // that the old one has not confirmed.
-func (d *Directory) Move(address string) {
+func (d *Directory) SetAddress(address string) {
 	if address == d.address {
 		return
 	}
@@ -223,34 +224,35 @@
 // Stop stops the watch.
 func (d *Directory) Stop() { d.watching = false }
 
-// Ended queues an outcome report, which is kept until the platform has confirmed it.
-func (d *Directory) Ended(e End) { d.pending = append(d.pending, e) }
+// ReportOutcome queues an outcome report, which is kept until the platform has confirmed it.
+func (d *Directory) ReportOutcome(e FinalOutcome) { d.pending = append(d.pending, e) }
 
-// Owed returns the number of outcome reports that the platform has not confirmed yet.
-func (d *Directory) Owed() int { return len(d.pending) }
+// Pending returns the number of outcome reports that the platform has not confirmed yet.
+func (d *Directory) Pending() int { return len(d.pending) }
 
-// Lists returns the list updates received since the last call, and whether a watch has failed since then.
-func (d *Directory) Lists() (lists []rules.ListTold, failed bool) {
+// TakeLists returns the list updates received since the last call, and whether a watch has failed since then.
+func (d *Directory) TakeLists() (lists []rules.ListUpdated, failed bool) {
 	lists, failed = d.lists, d.watchFailed
 	d.lists, d.watchFailed = nil, false
 	return lists, failed
 }
 
-// Told returns the notices whose outcome reports were confirmed, or dropped as unreadable, since the last call.
-func (d *Directory) Told() []rules.NoticeID {
+// TakeConfirmed returns the notices whose outcome reports were confirmed, or dropped as unreadable, since the last
+// call.
+func (d *Directory) TakeConfirmed() []rules.NoticeID {
 	confirmed := d.confirmed
 	d.confirmed = nil
 	return confirmed
 }
 
-// At sets the current time for the calls that follow.
-func (d *Directory) At(now time.Time) { d.now = now }
+// SetTime sets the current time for the calls that follow.
+func (d *Directory) SetTime(now time.Time) { d.now = now }
 
 // Step sends the requests that are due, handles timeouts, and returns when to call it again.
 func (d *Directory) Step() (next time.Time) {
 	if d.watching {
-		d.watch.step(d.limits.Hold+d.limits.AnswerTime, func(buffer []byte) []byte {
-			path := fmt.Sprintf("/discovery/hosts?from=%d&hold_ms=%d", d.revision, d.limits.Hold.Milliseconds())
+		d.watch.step(d.limits.WatchHold+d.limits.ResponseTimeout, func(buffer []byte) []byte {
+			path := fmt.Sprintf("/discovery/hosts?from=%d&hold_ms=%d", d.revision, d.limits.WatchHold.Milliseconds())
 			if d.needsFullList {
 				path = "/discovery/hosts"
 			}
@@ -259,7 +261,7 @@
 		next = d.watch.due
 	}
 	if len(d.pending) > 0 {
-		d.reports.step(d.limits.AnswerTime, func(buffer []byte) []byte {
+		d.reports.step(d.limits.ResponseTimeout, func(buffer []byte) []byte {
 			var lines []byte
 			d.inFlight = 0
 			for _, end := range d.pending {
@@ -293,19 +295,20 @@
 		d.needsFullList = true
 		err = fmt.Errorf("revision %d is older than the last revision %d", list.Revision, d.revision)
 	}
-	var update rules.ListTold
+	var update rules.ListUpdated
 	if err == nil {
-		update, err = d.receivers.Told(list)
+		update, err = d.receivers.Apply(list)
 	}
 	if err != nil {
 		d.countUnusable(fmt.Errorf("receiver list: %w", err))
 		return false
 	}
-	if !d.needsFullList && list.Revision <= d.revision && d.now.Sub(d.watch.requestedAt) < d.limits.Hold/2 {
-		d.watch.due = d.now.Add(d.limits.Again) // the platform does not hold watches open: don't poll in a tight loop
+	if !d.needsFullList && list.Revision <= d.revision && d.now.Sub(d.watch.requestedAt) < d.limits.WatchHold/2 {
+		// The platform does not hold watches open: don't poll in a tight loop.
+		d.watch.due = d.now.Add(d.limits.WatchInterval)
 	}
 	d.revision, d.needsFullList = list.Revision, false
-	if len(update.Entries) > 0 || update.Whole {
+	if len(update.Entries) > 0 || update.Complete {
 		d.lists = append(d.lists, update)
 	}
 	return true
@@ -313,8 +316,8 @@
 
 // countUnusable counts a response that could not be used, and keeps the reason for the log.
 func (d *Directory) countUnusable(err error) {
-	d.Broken++
-	d.Why = err.Error()
+	d.UnusableResponses++
+	d.LastFault = err.Error()
 }
 
 // handleReportResponse processes the response to a batch of outcome reports, and reports whether the next batch can
@@ -331,7 +334,8 @@
 			d.maxBatch = d.inFlight / 2
 			return true
 		}
-		d.Why = fmt.Sprintf("the platform can't read the outcome report of notice %q: dropped", d.pending[0].Message)
+		d.LastFault = fmt.Sprintf("the platform can't read the outcome report of notice %q: dropped",
+			d.pending[0].Message)
 	}
 	d.maxBatch = 0
 	for _, end := range d.pending[:d.inFlight] {
@@ -388,7 +392,7 @@
 // fail closes the connection and schedules the next attempt with exponential backoff.
 func (x *exchange) fail() {
 	x.closeConn()
-	x.backoff = min(max(2*x.backoff, x.directory.limits.BackOff), x.directory.limits.BackOffMost)
+	x.backoff = min(max(2*x.backoff, x.directory.limits.BackOff), x.directory.limits.MaxBackOff)
 	x.due = x.directory.now.Add(x.backoff)
 	x.onFailure()
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,9 +14,9 @@
 }
 
 // applyList applies a list that has to be valid.
-func applyList(t *testing.T, receivers *Receivers, complete bool, members ...Member) rules.ListTold {
+func applyList(t *testing.T, receivers *Receivers, complete bool, members ...Member) rules.ListUpdated {
 	t.Helper()
-	update, err := receivers.Told(List{Complete: complete, Members: members})
+	update, err := receivers.Apply(List{Complete: complete, Members: members})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	receivers := NewReceivers(settings.Names{})
 	first := applyList(t, receivers, true, member("a", "ready", 1)).Entries[0].Receiver
 	moved := applyList(t, receivers, false, member("a", "ready", 2)).Entries
-	if len(moved) != 2 || moved[0].Receiver != first || moved[0].Standing != rules.Gone || moved[1].Receiver == first {
+	if len(moved) != 2 || moved[0].Receiver != first || moved[0].Status != rules.Gone || moved[1].Receiver == first {
 		t.Errorf("expected the old receiver to be gone and a new one to be ready: %+v", moved)
 	}
 }
--- a/internal/directory/exchanges_test.go
+++ b/internal/directory/exchanges_test.go
@@ -64,7 +64,7 @@
 	if test.net, err = sockets.Start("127.0.0.1:0", lim, pool, nil); err != nil {
 		t.Fatal(err)
 	}
-	test.directory.Use(test.net)
+	test.directory.SetNet(test.net)
 	t.Cleanup(func() { listener.Close(); test.net.Stop() })
 	return test
 }
@@ -77,7 +77,7 @@
 			t.Fatal("the condition did not hold within 5 s")
 		}
 		time.Sleep(time.Millisecond)
-		p.directory.At(time.Now())
+		p.directory.SetTime(time.Now())
 		p.net.Gather()
 		p.directory.Step()
 	}
@@ -105,9 +105,9 @@
 	})
 	var confirmed []rules.NoticeID
 	for number := range rules.NoticeID(2) {
-		test.directory.Ended(End{Notice: number, Message: fmt.Sprint(number), Outcome: GivenUp})
+		test.directory.ReportOutcome(FinalOutcome{Notice: number, Message: fmt.Sprint(number), Outcome: GivenUp})
 		test.runUntil(t, func() bool {
-			confirmed = append(confirmed, test.directory.Told()...)
+			confirmed = append(confirmed, test.directory.TakeConfirmed()...)
 			return slices.Contains(confirmed, number)
 		})
 	}
@@ -146,10 +146,10 @@
 	removed := false
 	test.runUntil(t, func() bool {
 		removed = removed || test.directory.revision == 43
-		lists, _ := test.directory.Lists()
+		lists, _ := test.directory.TakeLists()
 		for _, update := range lists {
 			for _, entry := range update.Entries {
-				if removed && entry.Standing == rules.Ready {
+				if removed && entry.Status == rules.Ready {
 					t.Fatalf("a removed receiver is listed again at revision %d", test.directory.revision)
 				}
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -239,8 +239,8 @@
 	return max(g.tokens/g.bucketDepth(limitShare), 0), limit, true
 }
 
-// Pushed returns how many of the calls that overloaded the destination came from each sender.
-func (g *Gateway) Pushed() map[int]int {
+// CallsBySender returns how many of the calls that overloaded the destination came from each sender.
+func (g *Gateway) CallsBySender() map[int]int {
 	callsBySender := map[int]int{}
 	for _, a := range g.coldArrivals {
 		callsBySender[a.sender]++
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestQueue(t *testing.T) {
-	g := New(baseProfile(), recovery, scenario.Chance(1, 1))
+	g := New(baseProfile(), recovery, scenario.NewRand(1, 1))
 	check(t, `
 0 until 10
 0 until 10
@@ -70,7 +70,7 @@
   left 0.00 of 20
 50 until 51
   left 0.00 of 20
-`, run(New(s, recovery, scenario.Chance(1, 1)), 0, 0, 0, 50))
+`, run(New(s, recovery, scenario.NewRand(1, 1)), 0, 0, 0, 50))
 	s.CountsRefused = true
 	check(t, `
 0 until 1
@@ -83,7 +83,7 @@
   left 0.00 of 20
 200 until 201
   left 0.50 of 20
-`, run(New(s, recovery, scenario.Chance(1, 1)), 0, 0, 0, 50, 200))
+`, run(New(s, recovery, scenario.NewRand(1, 1)), 0, 0, 0, 50, 200))
 }
 
 func TestCountPerWindow(t *testing.T) {
@@ -98,7 +98,7 @@
   left 0.00 of 2
 1000 until 1010
   left 0.50 of 2
-`, run(New(s, recovery, scenario.Chance(1, 1)), 100, 200, 300, 1000))
+`, run(New(s, recovery, scenario.NewRand(1, 1)), 100, 200, 300, 1000))
 }
 
 // A cold destination is overloaded for good by a fraction of the calls that a warm one accepts. It recovers if it gets
@@ -107,7 +107,7 @@
 	s := baseProfile()
 	// The capacity is 200 calls a second warm and 40 cold, so the budget starts at 120 calls a second.
 	s.OverloadsWhenCold, s.Queue = true, 1000
-	fast := New(s, recovery, scenario.Chance(1, 1))
+	fast := New(s, recovery, scenario.NewRand(1, 1))
 	fast.EndOutage(0)
 	overloadedAt := -1
 	for i := range 300 {
@@ -115,14 +115,14 @@
 			overloadedAt = i
 		}
 	}
-	if by := fast.Pushed(); overloadedAt < 120 || overloadedAt > 135 || by[1]+by[2]+by[3] != overloadedAt+1 ||
+	if by := fast.CallsBySender(); overloadedAt < 120 || overloadedAt > 135 || by[1]+by[2]+by[3] != overloadedAt+1 ||
 		!fast.Overloaded() {
 		t.Errorf("overloaded at call %d, calls by sender %v", overloadedAt, by)
 	}
 	if v := fast.Arrive(60_000, 1, 1, 1); !v.Overloaded {
 		t.Error("an overloaded destination recovered")
 	}
-	slow := New(s, recovery, scenario.Chance(1, 1))
+	slow := New(s, recovery, scenario.NewRand(1, 1))
 	slow.EndOutage(0)
 	for i := range 1000 {
 		if slow.Arrive(rules.Millis(i*20), 1, 1, 1).Overloaded {
@@ -130,7 +130,7 @@
 		}
 	}
 	s.OverloadsWhenCold = false
-	unaffected := New(s, recovery, scenario.Chance(1, 1))
+	unaffected := New(s, recovery, scenario.NewRand(1, 1))
 	unaffected.EndOutage(0)
 	for i := range 300 {
 		if unaffected.Arrive(rules.Millis(i), 1, 1, 1).Overloaded {
@@ -143,7 +143,7 @@
 	for _, service := range []string{"fixed", "exponential", "lognormal", "bimodal", "pareto"} {
 		s := baseProfile()
 		s.Service, s.CV, s.Queue, s.Cores = service, 0.5, 1, 1
-		g := New(s, recovery, scenario.Chance(7, 7))
+		g := New(s, recovery, scenario.NewRand(7, 7))
 		sum := 0.0
 		const calls = 200_000
 		for i := range calls {
--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -14,22 +14,22 @@
 type Site struct {
 	*scenario.Destination
 	Core *Gateway
-	// Struck reports whether an outage is active. Seen holds the senders that may have noticed an outage: those with a
-	// failed or refused call, or all of them if the destination can't see who tries.
-	Struck bool
-	Seen   map[int]bool
+	// OutageActive reports whether an outage is active. SawOutage holds the senders that may have noticed an outage:
+	// those with a failed or refused call, or all of them if the destination can't see who tries.
+	OutageActive bool
+	SawOutage    map[int]bool
 
-	instance *scenario.World
+	instance *scenario.Instance
 	rng      *rand.Rand
 }
 
 // NewSite creates the site of one destination of a scenario's instance.
-func NewSite(w *scenario.World, d *scenario.Destination) *Site {
+func NewSite(w *scenario.Instance, d *scenario.Destination) *Site {
 	s := w.Settings
-	site := &Site{Destination: d, Seen: map[int]bool{}, instance: w,
-		rng: scenario.Chance(w.Seed, scenario.StreamGateways+uint64(d.Number))}
-	site.Core = New(d.Group.Shape, RecoveryProfile{ColdShare: s.ColdFrom, WarmUp: s.WarmWithin,
-		OverloadWindow: s.Fall, OverloadMultiple: s.TipMultiple}, site.rng)
+	site := &Site{Destination: d, SawOutage: map[int]bool{}, instance: w,
+		rng: scenario.NewRand(w.Seed, scenario.StreamGateways+uint64(d.Number))}
+	site.Core = New(d.Group.Profile, RecoveryProfile{ColdShare: s.ColdCapacity, WarmUp: s.WarmUpTime,
+		OverloadWindow: s.OverloadTime, OverloadMultiple: s.OverloadFactor}, site.rng)
 	return site
 }
 
@@ -62,8 +62,8 @@
 	return next
 }
 
-// StepOutage updates the outage state for a time. The end of the last active outage makes the destination cold.
-func (s *Site) StepOutage(at rules.Millis) {
+// UpdateOutage updates the outage state for a time. The end of the last active outage makes the destination cold.
+func (s *Site) UpdateOutage(at rules.Millis) {
 	active := false
 	for _, f := range s.Faults {
 		if !Outage(f) || !f.Active(at) {
@@ -72,14 +72,14 @@
 		active = true
 		if HidesCallers(f) {
 			for sender := range s.instance.Senders {
-				s.Seen[sender] = true
+				s.SawOutage[sender] = true
 			}
 		}
 	}
-	if s.Struck && !active {
+	if s.OutageActive && !active {
 		s.Core.EndOutage(at)
 	}
-	s.Struck = active
+	s.OutageActive = active
 }
 
 // Active returns the first fault of a kind that acts at a time.
@@ -92,9 +92,9 @@
 	return scenario.Fault{}, false
 }
 
-// Strike decides at random whether a fault of a kind affects a call of a grade; -1 stands for an unknown grade, which
-// only faults of all grades affect.
-func (s *Site) Strike(kind string, grade int, now rules.Millis) (scenario.Fault, bool) {
+// DrawFault decides at random whether a fault of a kind affects a call of a grade; -1 stands for an unknown grade,
+// which only faults of all grades affect.
+func (s *Site) DrawFault(kind string, grade int, now rules.Millis) (scenario.Fault, bool) {
 	f, active := s.Active(kind, now)
 	if !active {
 		return f, false
@@ -106,48 +106,49 @@
 	return f, f.Share >= 1 || s.rng.Float64() < f.Share
 }
 
-// Fate is the outcome of a call.
-type Fate struct {
-	Status  int
-	Fields  []string     // header lines of the response
-	Raw     string       // malformed bytes that are sent instead of a response
-	At      rules.Millis // when the response is due
-	Wait    rules.Millis // requested wait; 0: none
-	Slow    bool         // the response is sent at one byte a second
-	Spoilt  bool         // the response is malformed
-	Never   bool         // there is no response
-	Reset   bool         // the connection is reset
-	Ran     bool         // the call took effect
-	Unseen  bool         // the call is lost before it is read
-	Fell    bool         // this call overloaded the destination
-	Fault   string       // kind of the fault that decided the outcome; empty: none
-	Told    bool         // the response reports Left and LimitIs
-	Left    float64      // remaining share of the limit
-	LimitIs float64      // limit in calls a second
+// CallOutcome is the outcome of a call.
+type CallOutcome struct {
+	Status         int
+	HeaderLines    []string     // header lines of the response
+	Raw            string       // malformed bytes that are sent instead of a response
+	At             rules.Millis // when the response is due
+	Wait           rules.Millis // requested wait; 0: none
+	Dribbled       bool         // the response is sent at one byte a second
+	Malformed      bool         // the response is malformed
+	NoResponse     bool         // there is no response
+	Reset          bool         // the connection is reset
+	TookEffect     bool         // the call took effect
+	LostUnread     bool         // the call is lost before it is read
+	CausedOverload bool         // this call overloaded the destination
+	Fault          string       // kind of the fault that decided the outcome; empty: none
+	LimitReported  bool         // the response reports LimitRemaining and Limit
+	LimitRemaining float64      // remaining share of the limit
+	Limit          float64      // limit in calls a second
 }
 
 // Decide returns the outcome of a call that was read completely from a sender's connection. A grade below 0 is unknown.
-func (s *Site) Decide(now rules.Millis, sender, grade int) Fate {
-	for _, kind := range []string{scenario.Shut, scenario.Hang, scenario.ResetAfter, scenario.Errors, scenario.Spoilt} {
-		if _, affected := s.Strike(kind, grade, now); !affected {
+func (s *Site) Decide(now rules.Millis, sender, grade int) CallOutcome {
+	for _, kind := range []string{scenario.Shut, scenario.Hang, scenario.ResetAfter, scenario.Errors,
+		scenario.Malformed} {
+		if _, affected := s.DrawFault(kind, grade, now); !affected {
 			continue
 		}
-		if s.Struck {
-			s.Seen[sender] = true
+		if s.OutageActive {
+			s.SawOutage[sender] = true
 		}
-		fate := Fate{At: now, Fault: kind}
+		fate := CallOutcome{At: now, Fault: kind}
 		switch kind {
 		case scenario.Shut:
 			fate.Status = 503
 		case scenario.Hang:
-			fate.Never, fate.Ran = true, true
+			fate.NoResponse, fate.TookEffect = true, true
 		case scenario.ResetAfter:
-			fate.Reset, fate.Ran = true, s.rng.Float64() < 0.5
+			fate.Reset, fate.TookEffect = true, s.rng.Float64() < 0.5
 		case scenario.Errors:
-			fate.Status, fate.Ran = 500, s.rng.Float64() < 0.5
-		case scenario.Spoilt:
+			fate.Status, fate.TookEffect = 500, s.rng.Float64() < 0.5
+		case scenario.Malformed:
 			fate.Raw, fate.Status = malformedResponse(s.rng)
-			fate.Ran, fate.Spoilt = true, true
+			fate.TookEffect, fate.Malformed = true, true
 		}
 		return fate
 	}
@@ -155,43 +156,44 @@
 	if f, on := s.Active(scenario.LowLimit, now); on {
 		limitShare = f.Size
 	}
-	if f, affected := s.Strike(scenario.Slow, grade, now); affected {
+	if f, affected := s.DrawFault(scenario.Slow, grade, now); affected {
 		slowdown = f.Size
 	}
-	_, dribbles := s.Strike(scenario.Dribble, grade, now)
+	_, dribbles := s.DrawFault(scenario.Dribble, grade, now)
 	response := s.Core.Arrive(max(now, 0), sender, limitShare, slowdown)
-	fate := Fate{At: response.DueAt, Slow: dribbles, Fell: response.CausedOverload}
+	fate := CallOutcome{At: response.DueAt, Dribbled: dribbles, CausedOverload: response.CausedOverload}
 	if dribbles {
 		fate.Fault = scenario.Dribble
 	}
 	switch {
 	case response.Overloaded:
-		fate.Reset, fate.Unseen, fate.At, fate.Fault = true, true, now, "overloaded"
+		fate.Reset, fate.LostUnread, fate.At, fate.Fault = true, true, now, "overloaded"
 	case response.Refused:
 		fate.Status, fate.Wait, fate.At = 503, response.RetryAfter, now
 		if response.RetryAfter > 0 {
 			fate.Status = 429
-			fate.Fields = append(fate.Fields,
+			fate.HeaderLines = append(fate.HeaderLines,
 				"Retry-After: "+strconv.FormatFloat(float64(response.RetryAfter)/1000, 'f', 3, 64))
 		}
 	default:
-		fate.Status, fate.Ran = 200, true
+		fate.Status, fate.TookEffect = 200, true
 	}
 	reportFields := s.instance.Names.Report
-	if fate.Left, fate.LimitIs, fate.Told = s.Core.Report(max(now, 0), limitShare); fate.Told &&
+	if fate.LimitRemaining, fate.Limit, fate.LimitReported = s.Core.Report(max(now, 0),
+		limitShare); fate.LimitReported &&
 		len(reportFields) == 2 {
-		fate.Fields = append(fate.Fields, fmt.Sprintf("Server-Load: %s=%.3f,%s=%.3f",
-			reportFields[0], fate.Left, reportFields[1], fate.LimitIs))
+		fate.HeaderLines = append(fate.HeaderLines, fmt.Sprintf("Server-Load: %s=%.3f,%s=%.3f",
+			reportFields[0], fate.LimitRemaining, reportFields[1], fate.Limit))
 	} else {
-		fate.Told = false
+		fate.LimitReported = false
 	}
 	return fate
 }
 
-// SeenBy returns a copy of the set of senders that may have noticed an outage.
-func (s *Site) SeenBy() map[int]bool {
+// SendersThatSawOutage returns a copy of the set of senders that may have noticed an outage.
+func (s *Site) SendersThatSawOutage() map[int]bool {
 	seen := map[int]bool{}
-	for sender := range s.Seen {
+	for sender := range s.SawOutage {
 		seen[sender] = true
 	}
 	return seen
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -76,7 +76,7 @@
 	line                        *[]byte // the part of the current line that has arrived
 	headLeft                    int     // bytes that the rest of the head, a chunk size line or the trailers may have
 	bodyLeft                    int     // bytes left of a sized body or a chunk
-	continueSent                bool    // Waits has returned true for this message
+	continueSent                bool    // TakeExpectContinue has returned true for this message
 	message                     Message
 }
 
@@ -118,8 +118,9 @@
 // HeadRead reports whether the first line and the headers have been read.
 func (p *Parser) HeadRead() bool { return p.stage > headers }
 
-// Waits reports whether the client waits for "100 Continue" before it sends the body. It returns true once per request.
-func (p *Parser) Waits() bool {
+// TakeExpectContinue reports whether the client waits for "100 Continue" before it sends the body. It returns true once
+// per request.
+func (p *Parser) TakeExpectContinue() bool {
 	waits := p.HeadRead() && !p.continueSent && strings.EqualFold(p.message.Get("expect"), "100-continue")
 	p.continueSent = p.continueSent || waits
 	return waits
@@ -410,9 +411,9 @@
 // Continue is the interim response that asks a client to send the request's body.
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// AppendAnswer appends a response with its body to b. With closeAfter the response says that the connection ends
+// AppendResponse appends a response with its body to b. With closeAfter the response says that the connection ends
 // after it.
-func AppendAnswer(b []byte, status int, fields []Field, body string, closeAfter bool) []byte {
+func AppendResponse(b []byte, status int, fields []Field, body string, closeAfter bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
--- a/internal/intake/clients.go
+++ b/internal/intake/clients.go
@@ -73,7 +73,7 @@
 		client.responses = slices.Delete(client.responses, 0, 1) // keeps the slice's capacity
 		client.closing = next.closeMode == closeAtOnce ||
 			(next.closeMode == closeWhenQuiet || client.readStopped) && in.allInputAnswered(client)
-		out = http1.AppendAnswer(out, next.status, next.fields, next.body, client.closing)
+		out = http1.AppendResponse(out, next.status, next.fields, next.body, client.closing)
 	}
 	in.writeBuffer = out
 	if len(out) > 0 {
@@ -90,7 +90,7 @@
 	switch {
 	case client.closing:
 		in.closeWriteSide(client)
-	case len(client.responses) == 0 && !client.conn.Queued():
+	case len(client.responses) == 0 && !client.conn.HasQueuedData():
 		in.resumeReading(client)
 	}
 }
@@ -98,7 +98,7 @@
 // resumeReading allows more input to be read from a client: the number of bytes known to be missing from its
 // request, but at least one read window.
 func (in *Intake) resumeReading(client *clientConn) {
-	if !client.unreadSince.IsZero() && client.conn.Quiet() {
+	if !client.unreadSince.IsZero() && client.conn.NothingUnread() {
 		client.unreadSince = time.Time{}
 	}
 	client.readWindow = max(in.limits.Window, client.parser.Missing())
@@ -108,15 +108,15 @@
 // allInputAnswered reports whether everything that has arrived from a client and that is still to be answered has its
 // response.
 func (in *Intake) allInputAnswered(client *clientConn) bool {
-	if len(client.responses) > 0 || client.conn.Queued() {
+	if len(client.responses) > 0 || client.conn.HasQueuedData() {
 		return false
 	}
-	return client.readStopped || !client.parser.Begun() && client.conn.Quiet()
+	return client.readStopped || !client.parser.Begun() && client.conn.NothingUnread()
 }
 
 // refuse completes the response to a request that is not accepted.
 func (in *Intake) refuse(client *clientConn, pending *response, status int) {
-	if client.refusedRequests++; client.refusedRequests >= in.limits.Refused {
+	if client.refusedRequests++; client.refusedRequests >= in.limits.RefusedPerConnection {
 		client.readStopped = true
 	}
 	pending.finish(status, closeWhenQuiet)
@@ -127,7 +127,7 @@
 // in the kernel, so that closing the connection tells the client that it was not read.
 func (in *Intake) closeWriteSide(client *clientConn) {
 	client.responses, client.ignoresInput = nil, true
-	if client.flooding && !client.conn.Quiet() {
+	if client.flooding && !client.conn.NothingUnread() {
 		in.closeClient(client)
 		return
 	}
@@ -151,7 +151,7 @@
 
 // discard counts discarded input, and closes the connection at the limit.
 func (in *Intake) discard(client *clientConn, count int) {
-	if client.discardedBytes += count; client.discardedBytes > in.limits.Discard {
+	if client.discardedBytes += count; client.discardedBytes > in.limits.MaxDiscarded {
 		in.Refused.Flooding++
 		in.closeClient(client)
 	} else if client.closing && client.discardsInput {
@@ -167,7 +167,7 @@
 // closeIfQuiet closes a connection unless unread input has arrived on it: that may be a request, which gets its
 // response once it has been read. It reports whether it closed the connection.
 func (in *Intake) closeIfQuiet(client *clientConn) bool {
-	quiet := client.conn.CloseQuiet()
+	quiet := client.conn.CloseIfNothingUnread()
 	if quiet {
 		in.remove(client)
 	}
@@ -198,7 +198,7 @@
 				in.closeClient(client)
 			}
 		case client.parser.Begun():
-			if idle > in.limits.RequestTime || !client.served && now.Sub(client.openedAt) > in.limits.FirstTime {
+			if idle > in.limits.RequestTime || !client.served && now.Sub(client.openedAt) > in.limits.FirstRequestTime {
 				in.Refused.Late++
 				in.abandonRequest(client, 408)
 				in.flush(client)
@@ -211,13 +211,14 @@
 	}
 }
 
-// MakeRoom protects against clients that hold connections or memory without sending complete requests. While the
-// number of connections or the memory of partial requests is over its limit, it closes connections without a
+// CloseIdleClients protects against clients that hold connections or memory without sending complete requests. While
+// the number of connections or the memory of partial requests is over its limit, it closes connections without a
 // complete request, those idle for longest first. Well-behaved clients are rarely affected: their request follows
 // directly after they connect.
-func (in *Intake) MakeRoom() {
-	excessClients, excessBytes := len(in.clients)-in.limits.Crowd, -in.limits.Partial
-	if excessClients <= 0 && len(in.partial) <= in.limits.Partial/(in.limits.Head+in.limits.Body+2*in.limits.Buffer) {
+func (in *Intake) CloseIdleClients() {
+	excessClients, excessBytes := len(in.clients)-in.limits.CrowdedAt, -in.limits.PartialBytes
+	if excessClients <= 0 &&
+		len(in.partial) <= in.limits.PartialBytes/(in.limits.Head+in.limits.Body+2*in.limits.Buffer) {
 		return // so few partial requests can't exceed the memory limit
 	}
 	for client := range in.partial {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -19,20 +19,20 @@
 
 // Request is a submitted notice whose client waits for Answer.
 type Request struct {
-	ID          string
-	Mark        string // the idempotency key, by which a receiver recognizes a repeated notice, or empty
-	Grade       rules.GradeID
-	Portfolio   rules.PortfolioID
-	Key         rules.KeyID
-	Destination rules.DestinationID
-	Left        rules.Millis // client timeout
-	Inherited   bool         // a resubmission, after another sender that had the notice died or did not answer
-	Body        *buffers.Chain
-	// Since is the earliest time at which a request that waited unread in the kernel can have arrived, because
-	// earlier requests of its client were served first. Zero: it did not wait.
-	Since    time.Time
-	client   *clientConn
-	response *response
+	ID            string
+	Mark          string // the idempotency key, by which a receiver recognizes a repeated notice, or empty
+	Grade         rules.GradeID
+	Portfolio     rules.PortfolioID
+	Key           rules.KeyID
+	Destination   rules.DestinationID
+	ClientTimeout rules.Millis // client timeout
+	Inherited     bool         // a resubmission, after another sender that had the notice died or did not answer
+	Body          *buffers.Chain
+	// EarliestArrival is the earliest time at which a request that waited unread in the kernel can have arrived,
+	// because earlier requests of its client were served first. Zero: it did not wait.
+	EarliestArrival time.Time
+	client          *clientConn
+	response        *response
 }
 
 // Refusals counts the requests and connections that intake refused by itself, without asking the decision module, by
@@ -111,7 +111,7 @@
 		data = rest
 		if done {
 			in.serve(client, client.parser.Take())
-		} else if client.parser.Waits() {
+		} else if client.parser.TakeExpectContinue() {
 			client.awaitsContinue = true
 		}
 	}
@@ -160,7 +160,7 @@
 			in.refuse(client, pending, status)
 			return
 		}
-		request.client, request.response, request.Since = client, pending, client.unreadSince
+		request.client, request.response, request.EarliestArrival = client, pending, client.unreadSince
 		in.submitted = append(in.submitted, request)
 	}
 }
@@ -172,7 +172,7 @@
 	if client.pageTurn != in.now {
 		client.pageRequests, client.pageTurn = 0, in.now
 	}
-	if client.pageRequests++; client.pageRequests == in.limits.Pages {
+	if client.pageRequests++; client.pageRequests == in.limits.PagesPerTurn {
 		in.Refused.Flooding++
 		client.readStopped, client.flooding = true, true
 	}
@@ -183,7 +183,7 @@
 	switch {
 	case method != "GET":
 		pending.finish(405, mode)
-	case client.pageRequests > in.limits.Pages:
+	case client.pageRequests > in.limits.PagesPerTurn:
 		pending.finish(429, mode)
 	case path == "/counters":
 		pending.body = in.countersPage()
@@ -218,7 +218,7 @@
 		in.Refused.Unknown++
 		return nil, 503 // the destination may be listed later, and the client can safely resubmit
 	}
-	request.Left, request.Destination = rules.Millis(timeout), destination
+	request.ClientTimeout, request.Destination = rules.Millis(timeout), destination
 	request.Portfolio = rules.PortfolioID(settings.Index(in.names.Portfolios, message.Get("tenant")))
 	if key := message.Get("affinity-key"); key != "" {
 		hash := fnv.New64a()
@@ -271,5 +271,5 @@
 	in.flush(client)
 }
 
-// At sets the current time for the calls that follow.
-func (in *Intake) At(now time.Time) { in.now = now }
+// SetTime sets the current time for the calls that follow.
+func (in *Intake) SetTime(now time.Time) { in.now = now }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	if s.Settings.Slots != 7 || s.Settings.Grades[1].QuotedTime != 900 || s.Settings.Grades[0].QuotedTime != 1000 ||
-		s.Groups[0].Shape.Mean != 3 || s.Traffic.Rate != 40 || s.Seed != 5 {
+		s.Groups[0].Profile.Mean != 3 || s.Traffic.Rate != 40 || s.Seed != 5 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/lab/returns_test.go
+++ b/internal/lab/returns_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, row := range rows {
 		if len(row.Result.Breaches) > 0 {
-			t.Errorf("seed %d: %s", row.Seed, audit.Tell(row.Result.Breaches))
+			t.Errorf("seed %d: %s", row.Seed, audit.FormatBreaches(row.Result.Breaches))
 		}
 	}
 }
--- a/internal/lab/rows.go
+++ b/internal/lab/rows.go
@@ -53,7 +53,7 @@
 	{"dismissed", func(r *model.Result) float64 { return ratio(r.Dismissed, r.All.Asked) }, true},
 	{"broken off", func(r *model.Result) float64 { return ratio(r.BrokenOff, r.All.Asked) }, true},
 	{"second effects", func(r *model.Result) float64 { return float64(r.Second) }, true},
-	{"pushed over", func(r *model.Result) float64 { return float64(r.Falls) }, true},
+	{"pushed over", func(r *model.Result) float64 { return float64(r.Overloads) }, true},
 	{"breaches", func(r *model.Result) float64 { return float64(len(r.Breaches)) }, true},
 }
 
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -181,7 +181,7 @@
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, err
 	}
-	formatDuration := func(m rules.Millis) string { return conf.Show(conf.Span, float64(m)) }
+	formatDuration := func(m rules.Millis) string { return conf.FormatNumber(conf.Span, float64(m)) }
 	tree["name"], tree["about"], tree["seed"] = fmt.Sprintf("found-%d", f.Seed), about, int64(f.Seed)
 	tree["length"] = formatDuration(f.Scenario.Length)
 	var faults []any
@@ -197,8 +197,8 @@
 		if x.Busiest {
 			table["busiest"] = true
 		}
-		if x.Each > 0 {
-			table["each"] = formatDuration(x.Each)
+		if x.Period > 0 {
+			table["each"] = formatDuration(x.Period)
 		}
 		faults = append(faults, table)
 	}
--- a/internal/lab/spec.go
+++ b/internal/lab/spec.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	s, faults := scenario.Read(name, text)
-	if err := faults.Or(); err != nil {
+	if err := faults.ErrorOrNil(); err != nil {
 		return nil, fmt.Errorf("variant %s: %w", w.Name, err)
 	}
 	s.Seed = seed
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -44,19 +44,19 @@
 	Inherited   bool         `json:",omitempty"` // another sender accepted it before and failed
 	Body        []byte       `json:"-"`
 
-	Trips   int     `json:"-"` // number of trips started
-	Ran     []Trip  `json:"-"` // trips that may have taken effect
-	Ended   string  `json:"-"` // final outcome that the platform has not accepted yet, or empty
-	RetryMS float64 `json:"-"` // with Ended: when the client may submit it again, in milliseconds
+	Trips        int     `json:"-"` // number of trips started
+	PossibleRuns []Trip  `json:"-"` // trips that may have taken effect
+	Outcome      string  `json:"-"` // final outcome that the platform has not accepted yet, or empty
+	RetryAfterMS float64 `json:"-"` // with Outcome: when the client may submit it again, in milliseconds
 }
 
-// Adjust corrects the notice's wall clock times if the wall clock was stepped between TakenAt and now. It returns
-// the step.
-func (n *Notice) Adjust(now clock.Moment) (stepped time.Duration) {
+// AdjustForClockStep corrects the notice's wall clock times if the wall clock was stepped between TakenAt and now. It
+// returns the step.
+func (n *Notice) AdjustForClockStep(now clock.Moment) (stepped time.Duration) {
 	stepped = n.TakenAt.Stepped(now)
 	n.Until = n.Until.Add(stepped)
-	for i := range n.Ran {
-		n.Ran[i].At = n.Ran[i].At.Add(stepped)
+	for i := range n.PossibleRuns {
+		n.PossibleRuns[i].At = n.PossibleRuns[i].At.Add(stepped)
 	}
 	return stepped
 }
@@ -122,7 +122,7 @@
 	if err := l.Compact(); err != nil {
 		return nil, nil, err
 	}
-	return l, report.Owed, nil
+	return l, report.Pending, nil
 }
 
 // Report describes the contents of a ledger file.
@@ -130,7 +130,7 @@
 	Bytes, Records int
 	Kinds          map[string]int // number of records by name of the kind
 	Torn           int            // unreadable bytes at the end
-	Owed           []Notice       // pending notices, in the order in which they were accepted
+	Pending        []Notice       // pending notices, in the order in which they were accepted
 }
 
 // kindNames maps the kinds of record to their names in a Report.
@@ -174,7 +174,7 @@
 	report.Torn = len(data)
 	for _, number := range order {
 		if n := pending[number]; n != nil {
-			report.Owed = append(report.Owed, *n)
+			report.Pending = append(report.Pending, *n)
 		}
 	}
 	return report
@@ -200,27 +200,28 @@
 	case kind == kindTrip && len(payload) >= 8:
 		n.Trips++
 		at := time.UnixMilli(int64(binary.LittleEndian.Uint64(payload)))
-		n.Ran = append(n.Ran, Trip{At: at, Zone: string(payload[8:])})
-	case kind == kindNotRun && len(n.Ran) > 0:
-		n.Ran = n.Ran[:len(n.Ran)-1]
+		n.PossibleRuns = append(n.PossibleRuns, Trip{At: at, Zone: string(payload[8:])})
+	case kind == kindNotRun && len(n.PossibleRuns) > 0:
+		n.PossibleRuns = n.PossibleRuns[:len(n.PossibleRuns)-1]
 	case kind == kindTripsNotRun && len(payload) >= 4:
 		n.Trips += int(binary.LittleEndian.Uint32(payload))
 	case kind == kindOutcome && len(payload) >= 4:
-		n.RetryMS, n.Ended = float64(binary.LittleEndian.Uint32(payload)), string(payload[4:])
+		n.RetryAfterMS, n.Outcome = float64(binary.LittleEndian.Uint32(payload)), string(payload[4:])
 	case kind == kindClosed:
 		delete(pending, number)
 	}
 	return nil
 }
 
-// Folder returns the state directory that the ledger is stored in.
-func (l *Ledger) Folder() string { return l.stateDir }
+// StateDir returns the state directory that the ledger is stored in.
+func (l *Ledger) StateDir() string { return l.stateDir }
 
 // path returns the path of the ledger file.
 func (l *Ledger) path() string { return filepath.Join(l.stateDir, fileName) }
 
-// Taken records that a notice was accepted. It returns ErrFull without capacity for it and for its later records.
-func (l *Ledger) Taken(n Notice) error {
+// RecordAccepted records that a notice was accepted. It returns ErrFull without capacity for it and for its later
+// records.
+func (l *Ledger) RecordAccepted(n Notice) error {
 	metadata, err := json.Marshal(n)
 	if err != nil {
 		return err
@@ -244,29 +245,30 @@
 	return l.append(n.Number, kindAccepted, payload)
 }
 
-// Share returns the part of a ledger's capacity for live notices that a typical notice with a body of the given
+// CapacityShare returns the part of a ledger's capacity for live notices that a typical notice with a body of the given
 // size uses.
-func Share(capacity int64, body int) float64 {
+func CapacityShare(capacity int64, body int) float64 {
 	return float64(headerSize+minRecordLen+4+typicalOverhead+body) / float64(capacity*2/5)
 }
 
-// Trip records that a call is about to be sent. The record is in the file when Trip returns.
-func (l *Ledger) Trip(number rules.NoticeID, t Trip) error {
+// RecordTrip records that a call is about to be sent. The record is in the file when RecordTrip returns.
+func (l *Ledger) RecordTrip(number rules.NoticeID, t Trip) error {
 	payload := binary.LittleEndian.AppendUint64(nil, uint64(t.At.UnixMilli()))
 	return l.append(number, kindTrip, append(payload, t.Zone...))
 }
 
-// Unrun records that the notice's last trip is known not to have run.
-func (l *Ledger) Unrun(number rules.NoticeID) error { return l.append(number, kindNotRun, nil) }
+// RecordNotRun records that the notice's last trip is known not to have run.
+func (l *Ledger) RecordNotRun(number rules.NoticeID) error { return l.append(number, kindNotRun, nil) }
 
-// Ended records a notice's final outcome, which is kept until Closed. The record is in the file when Ended returns.
-func (l *Ledger) Ended(number rules.NoticeID, outcome string, retryMS float64) error {
+// RecordOutcome records a notice's final outcome, which is kept until RecordClosed. The record is in the file when
+// RecordOutcome returns.
+func (l *Ledger) RecordOutcome(number rules.NoticeID, outcome string, retryMS float64) error {
 	payload := binary.LittleEndian.AppendUint32(nil, uint32(min(max(retryMS, 0), 1e9)))
 	return l.append(number, kindOutcome, append(payload, outcome...))
 }
 
-// Closed records that nothing remains to be done for a notice.
-func (l *Ledger) Closed(number rules.NoticeID) error {
+// RecordClosed records that nothing remains to be done for a notice.
+func (l *Ledger) RecordClosed(number rules.NoticeID) error {
 	if l.notices[number] == nil {
 		return nil
 	}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -29,10 +29,10 @@
 	var text strings.Builder
 	for _, n := range pending {
 		fmt.Fprintf(&text, "%s to %d %q trips %d ran", n.ID, n.Destination, n.Body, n.Trips)
-		for _, r := range n.Ran {
+		for _, r := range n.PossibleRuns {
 			fmt.Fprintf(&text, " %s+%d", r.Zone, r.At.Sub(startTime).Milliseconds())
 		}
-		fmt.Fprintf(&text, " %s %v\n", n.Ended, n.RetryMS)
+		fmt.Fprintf(&text, " %s %v\n", n.Outcome, n.RetryAfterMS)
 	}
 	return l, text.String()
 }
@@ -55,23 +55,23 @@
 func TestRecordsWaitForOneWrite(t *testing.T) {
 	stateDir := t.TempDir()
 	l, _ := openLedger(t, stateDir, 1<<20)
-	failOnError(t, l.Taken(newNotice(1, "one")), l.Taken(newNotice(2, "two")))
+	failOnError(t, l.RecordAccepted(newNotice(1, "one")), l.RecordAccepted(newNotice(2, "two")))
 	if l.Size() != 0 {
 		t.Errorf("%d bytes were written before a trip or Flush, want 0", l.Size())
 	}
-	failOnError(t, l.Trip(1, Trip{startTime, "a"}))
+	failOnError(t, l.RecordTrip(1, Trip{startTime, "a"}))
 	if _, got := openLedger(t, stateDir, 1<<20); !strings.Contains(got, "two") || !strings.Contains(got, "a+0") {
 		t.Errorf("the file lacks notices accepted before a recorded trip: %s", got)
 	}
 	stateDir = t.TempDir()
 	l, _ = openLedger(t, stateDir, 1<<20)
-	failOnError(t, l.Taken(newNotice(1, "one")), flush(l))
+	failOnError(t, l.RecordAccepted(newNotice(1, "one")), flush(l))
 	writableFile := l.file
 	readOnlyFile, err := os.Open(l.path()) // opened read-only, so that writes fail
 	failOnError(t, err)
 	l.file = readOnlyFile
-	failOnError(t, l.Closed(1), l.Taken(newNotice(3, "three")))
-	if l.Trip(3, Trip{startTime, "a"}) == nil {
+	failOnError(t, l.RecordClosed(1), l.RecordAccepted(newNotice(3, "three")))
+	if l.RecordTrip(3, Trip{startTime, "a"}) == nil {
 		t.Error("Trip returned no error although the file is not writable")
 	}
 	lost, err := l.Flush()
@@ -79,7 +79,7 @@
 		t.Errorf("Flush of an unwritable ledger: error %v, lost notices -want +got:\n%s", err, diff)
 	}
 	l.file = writableFile
-	failOnError(t, l.Taken(newNotice(4, "four")), flush(l))
+	failOnError(t, l.RecordAccepted(newNotice(4, "four")), flush(l))
 	if _, got := openLedger(t, stateDir, 1<<20); got != "id-4 to 7 \"four\" trips 0 ran  0\n" {
 		t.Errorf("pending notices after the file became writable again: %s", got)
 	}
@@ -90,12 +90,13 @@
 	stateDir := t.TempDir()
 	l, _ := openLedger(t, stateDir, 1<<20)
 	failOnError(t,
-		l.Taken(newNotice(1, "one")), l.Taken(newNotice(2, "two")),
-		l.Taken(newNotice(3, "three")), l.Taken(newNotice(4, "four")),
-		l.Trip(1, Trip{startTime, "a"}), l.Unrun(1), l.Trip(1, Trip{startTime.Add(time.Second), "b"}),
-		l.Trip(2, Trip{startTime, "a"}), l.Closed(2), l.Closed(2),
-		l.Trip(3, Trip{startTime, "a"}), l.Unrun(3),
-		l.Ended(4, "handed_back", 500), l.Closed(9), flush(l),
+		l.RecordAccepted(newNotice(1, "one")), l.RecordAccepted(newNotice(2, "two")),
+		l.RecordAccepted(newNotice(3, "three")), l.RecordAccepted(newNotice(4, "four")),
+		l.RecordTrip(1, Trip{startTime, "a"}), l.RecordNotRun(1), l.RecordTrip(1,
+			Trip{startTime.Add(time.Second), "b"}),
+		l.RecordTrip(2, Trip{startTime, "a"}), l.RecordClosed(2), l.RecordClosed(2),
+		l.RecordTrip(3, Trip{startTime, "a"}), l.RecordNotRun(3),
+		l.RecordOutcome(4, "handed_back", 500), l.RecordClosed(9), flush(l),
 	)
 	want := `id-1 to 7 "one" trips 2 ran b+1000  0
 id-3 to 7 "three" trips 1 ran  0
@@ -112,9 +113,9 @@
 func TestTornEnd(t *testing.T) {
 	stateDir := t.TempDir()
 	l, _ := openLedger(t, stateDir, 1<<20)
-	failOnError(t, l.Taken(newNotice(1, "one")), flush(l))
+	failOnError(t, l.RecordAccepted(newNotice(1, "one")), flush(l))
 	firstRecordEnd := l.Size()
-	failOnError(t, l.Taken(newNotice(2, "two")), flush(l))
+	failOnError(t, l.RecordAccepted(newNotice(2, "two")), flush(l))
 	path := filepath.Join(stateDir, fileName)
 	data, err := os.ReadFile(path)
 	failOnError(t, err)
@@ -127,7 +128,7 @@
 		if l.Torn != int(size-firstRecordEnd) {
 			t.Fatalf("%d bytes of the second record: Torn is %d", size-firstRecordEnd, l.Torn)
 		}
-		failOnError(t, l.Taken(newNotice(5, "five")), flush(l))
+		failOnError(t, l.RecordAccepted(newNotice(5, "five")), flush(l))
 		if _, got = openLedger(t, stateDir, 1<<20); !strings.Contains(got, "five") {
 			t.Fatalf("a notice written after a torn end is missing: %s", got)
 		}
@@ -161,7 +162,8 @@
 	var number rules.NoticeID
 	for range 500 { // many more than the capacity allows at once
 		number++
-		failOnError(t, l.Taken(newNotice(number, body)), l.Trip(number, Trip{startTime, "a"}), l.Closed(number))
+		failOnError(t, l.RecordAccepted(newNotice(number, body)), l.RecordTrip(number, Trip{startTime, "a"}),
+			l.RecordClosed(number))
 		if size := diskUsage(t, stateDir); size > capacity {
 			t.Fatalf("%d bytes on disk", size)
 		}
@@ -169,7 +171,7 @@
 	live := 0
 	for ; ; live++ {
 		number++
-		if err := l.Taken(newNotice(number, body)); errors.Is(err, ErrFull) {
+		if err := l.RecordAccepted(newNotice(number, body)); errors.Is(err, ErrFull) {
 			break
 		} else {
 			failOnError(t, err)
@@ -177,7 +179,7 @@
 	}
 	for range 12 { // the accepted notices can still record trips
 		for n := number - rules.NoticeID(live); n < number; n++ {
-			failOnError(t, l.Trip(n, Trip{startTime, "a"}), l.Unrun(n))
+			failOnError(t, l.RecordTrip(n, Trip{startTime, "a"}), l.RecordNotRun(n))
 		}
 		if size := diskUsage(t, stateDir); size > capacity {
 			t.Fatalf("%d bytes on disk with a full ledger", size)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -23,41 +23,41 @@
 	Memory int64   // soft memory limit of the Go runtime, in bytes
 	Disk   int64   // bytes of the ledger, together with its copy while it is rewritten
 
-	Buffer    int // bytes of every buffer
-	Window    int // bytes read from a client at a time, unless its request is known to lack more
-	Queued    int // bytes read from sockets and not yet processed by the loop; above this, reading pauses
-	Head      int // bytes of a first line with its headers
-	Fields    int // header fields of one message
-	Body      int // bytes of the body of a request or a response
-	List      int // bytes of a receiver list, and bytes that may wait to be written on one connection
-	HeldBytes int // bytes of the bodies of all notices held
-	Partial   int // bytes of all incomplete requests
+	Buffer            int // bytes of every buffer
+	Window            int // bytes read from a client at a time, unless its request is known to lack more
+	QueuedBytes       int // bytes read from sockets and not yet processed by the loop; above this, reading pauses
+	Head              int // bytes of a first line with its headers
+	Fields            int // header fields of one message
+	Body              int // bytes of the body of a request or a response
+	ReceiverListBytes int // bytes of a receiver list, and bytes that may wait to be written on one connection
+	HeldBytes         int // bytes of the bodies of all notices held
+	PartialBytes      int // bytes of all incomplete requests
 
-	Clients   int // connections from clients; further ones wait in the kernel
-	Crowd     int // above this number of client connections, those idle for longest are closed
-	Pages     int // pages served on one connection in one turn; it ends after the last of them
-	Refused   int // after this many refused requests on one connection, nothing more is read from it
-	Discard   int // bytes read and discarded from a client after a request that can't be parsed
-	Receivers int // connections to receivers
+	Clients              int // connections from clients; further ones wait in the kernel
+	CrowdedAt            int // above this number of client connections, those idle for longest are closed
+	PagesPerTurn         int // pages served on one connection in one turn; it ends after the last of them
+	RefusedPerConnection int // after this many refused requests on one connection, nothing more is read from it
+	MaxDiscarded         int // bytes read and discarded from a client after a request that can't be parsed
+	Receivers            int // connections to receivers
 
-	RequestTime  time.Duration // from the first byte of a request to the last
-	FirstTime    time.Duration // from a client's connecting to the last byte of its first request
-	ClientIdle   time.Duration // how long a client's connection may be idle
-	ConnectTime  time.Duration // for connecting to a receiver
-	RestTime     time.Duration // for the rest of a response whose head was enough; then the connection is closed
-	ReceiverIdle time.Duration // how long a connection to a receiver may be idle
-	Turn         time.Duration // between the starts of two turns of a busy loop
-	Sweep        time.Duration // between checks for timeouts
-	Lag          time.Duration // a turn this long after the previous one, or this old, may lack data that has arrived
-	SettleTime   time.Duration // how long a connection to a receiver stays unused after a response
-	Unheard      time.Duration // until a connection with data not yet processed is checked again
-	Stall        time.Duration // longest pause of the process that is allowed for between reading its clock and writing
+	RequestTime        time.Duration // from the first byte of a request to the last
+	FirstRequestTime   time.Duration // from a client's connecting to the last byte of its first request
+	ClientIdle         time.Duration // how long a client's connection may be idle
+	ConnectTime        time.Duration // for connecting to a receiver
+	RemainderTime      time.Duration // for the rest of a response whose head was enough; then the connection is closed
+	ReceiverIdle       time.Duration // how long a connection to a receiver may be idle
+	TurnInterval       time.Duration // between the starts of two turns of a busy loop
+	SweepInterval      time.Duration // between checks for timeouts
+	MaxTurnLag         time.Duration // a turn this long after the last one, or this old, may lack data that has arrived
+	SettleTime         time.Duration // how long a connection to a receiver stays unused after a response
+	UnreadRecheckDelay time.Duration // until a connection with data not yet processed is checked again
+	MaxPause           time.Duration // longest pause of the process allowed for between reading its clock and writing
 
-	Hold        time.Duration // how long discovery is asked to hold a watch request
-	Again       time.Duration // between watch requests that discovery does not hold
-	AnswerTime  time.Duration // response timeout: of discovery, added to Hold; of the platform, for an outcome report
-	BackOff     time.Duration // pause after the first failure of either; doubles with each further one
-	BackOffMost time.Duration // upper bound of that pause
+	WatchHold       time.Duration // how long discovery is asked to hold a watch request
+	WatchInterval   time.Duration // between watch requests that discovery does not hold
+	ResponseTimeout time.Duration // of discovery, added to WatchHold; of the platform, for an outcome report
+	BackOff         time.Duration // pause after the first failure of either; doubles with each further one
+	MaxBackOff      time.Duration // upper bound of that pause
 
 	SendUntil time.Duration // after SIGTERM: no trip starts from then on
 	ExitBy    time.Duration // after SIGTERM: the process exits, even with work left
@@ -86,37 +86,37 @@
 		Memory: int64(machine.MemoryMB) * mb / 2,
 		Disk:   int64(machine.DiskMB * 1e6 * 0.9),
 
-		Buffer:    8 << 10,
-		Window:    2 << 10,
-		Queued:    min(4, machine.MemoryMB/16) * mb,
-		Head:      8 << 10,
-		Fields:    64,
-		Body:      64 << 10,
-		List:      min(4, max(machine.MemoryMB/16, 1)) * mb,
-		Discard:   256 << 10,
-		Pages:     4,
-		Refused:   512,
-		HeldBytes: machine.MemoryMB * mb / 8,
-		Partial:   machine.MemoryMB * mb / 16,
+		Buffer:               8 << 10,
+		Window:               2 << 10,
+		QueuedBytes:          min(4, machine.MemoryMB/16) * mb,
+		Head:                 8 << 10,
+		Fields:               64,
+		Body:                 64 << 10,
+		ReceiverListBytes:    min(4, max(machine.MemoryMB/16, 1)) * mb,
+		MaxDiscarded:         256 << 10,
+		PagesPerTurn:         4,
+		RefusedPerConnection: 512,
+		HeldBytes:            machine.MemoryMB * mb / 8,
+		PartialBytes:         machine.MemoryMB * mb / 16,
 
-		RequestTime:  2 * time.Second,
-		FirstTime:    2500 * time.Millisecond,
-		ClientIdle:   2 * time.Second,
-		ConnectTime:  toDuration(connectTimeout),
-		RestTime:     250 * time.Millisecond,
-		ReceiverIdle: toDuration(settings.IdleKept * 9 / 10),
-		Turn:         toDuration(settings.Tick / 2),
-		Sweep:        100 * time.Millisecond,
-		Lag:          20 * time.Millisecond,
-		SettleTime:   toDuration(rules.SettleTime),
-		Unheard:      time.Millisecond,
-		Stall:        150 * time.Millisecond,
+		RequestTime:        2 * time.Second,
+		FirstRequestTime:   2500 * time.Millisecond,
+		ClientIdle:         2 * time.Second,
+		ConnectTime:        toDuration(connectTimeout),
+		RemainderTime:      250 * time.Millisecond,
+		ReceiverIdle:       toDuration(settings.IdleTimeout * 9 / 10),
+		TurnInterval:       toDuration(settings.Tick / 2),
+		SweepInterval:      100 * time.Millisecond,
+		MaxTurnLag:         20 * time.Millisecond,
+		SettleTime:         toDuration(rules.SettleTime),
+		UnreadRecheckDelay: time.Millisecond,
+		MaxPause:           150 * time.Millisecond,
 
-		Hold:        2 * time.Second,
-		Again:       100 * time.Millisecond,
-		AnswerTime:  time.Second,
-		BackOff:     50 * time.Millisecond,
-		BackOffMost: time.Second,
+		WatchHold:       2 * time.Second,
+		WatchInterval:   100 * time.Millisecond,
+		ResponseTimeout: time.Second,
+		BackOff:         50 * time.Millisecond,
+		MaxBackOff:      time.Second,
 
 		SendUntil: 2400 * time.Millisecond,
 		ExitBy:    3200 * time.Millisecond,
@@ -125,7 +125,7 @@
 	// A new connection to a receiver briefly holds two descriptors, and the runtime, the ledger and discovery need
 	// some. Under usual load, clients hold a third of the descriptors for their requests.
 	limits.Clients = max(machine.Sockets*9/16, 8)
-	limits.Crowd = limits.Clients * 3 / 4
+	limits.CrowdedAt = limits.Clients * 3 / 4
 	limits.Receivers = max(machine.Sockets/4, 8)
 	if limits.ConnectTime <= 0 {
 		limits.ConnectTime = time.Second
--- a/internal/logs/events.go
+++ b/internal/logs/events.go
@@ -31,15 +31,15 @@
 	Ended    = "ended"
 	Closed   = "closed"
 
-	WrittenInWait = "written_in_wait"
-	Connecting    = "connecting"
-	Connected     = "connected"
-	Disconnected  = "disconnected"
-	Written       = "written"
-	WaitTold      = "wait_told"
-	Answered      = "answered"
-	Unasked       = "unasked"
-	Doubted       = "doubted"
+	WrittenInWait    = "written_in_wait"
+	Connecting       = "connecting"
+	Connected        = "connected"
+	Disconnected     = "disconnected"
+	Written          = "written"
+	WaitRequested    = "wait_told"
+	Answered         = "answered"
+	UnsolicitedBytes = "unasked"
+	OutcomeRetracted = "doubted"
 )
 
 // Event describes one kind of log line.
@@ -101,11 +101,11 @@
 		"a connection to a receiver was closed; `notice` is the notice of the call that it carried, or 0, and `why` says which side closed it and for what reason"},
 	{Answered, "debug", []string{"connection", "notice", "receiver", "status", "after", "behind"}, false,
 		"a complete response was read; `after` is the time since its call was written, `behind` whether further bytes followed the response"},
-	{Unasked, "warn", []string{"connection", "receiver", "last", "carried", "quiet", "bytes", "begins"}, true,
+	{UnsolicitedBytes, "warn", []string{"connection", "receiver", "last", "carried", "quiet", "bytes", "begins"}, true,
 		"a receiver sent unsolicited bytes, on a connection that had carried `carried` calls (`last` is the notice of the latest) and was quiet for the duration `quiet`; such bytes may be the response to another call than the one that they would be assigned to"},
-	{Doubted, "warn", []string{"id", "notice", "receiver", "written_ago", "held"}, true,
+	{OutcomeRetracted, "warn", []string{"id", "notice", "receiver", "written_ago", "held"}, true,
 		"an outcome was retracted, because the response may belong to another call: if the notice is no longer `held`, its outcome is reported to the platform; if it is, it counts as one that may have taken effect"},
-	{WaitTold, "debug", []string{"receiver", "wait"}, false,
+	{WaitRequested, "debug", []string{"receiver", "wait"}, false,
 		"a receiver requested a wait in a response that is not complete yet; waits requested by complete responses are logged with `outcome`"},
 	{Outcome, "debug", []string{"id", "notice", "receiver", "result", "spent", "wait"}, false,
 		"a trip ended"},
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// Unlisted returns what in a log line, decoded from JSON, is not declared in Events: the event's name, or a key
+// Undeclared returns what in a log line, decoded from JSON, is not declared in Events: the event's name, or a key
 // other than those common to all lines. It returns "" if everything is declared.
-func Unlisted(line map[string]any) string {
+func Undeclared(line map[string]any) string {
 	name, _ := line["msg"].(string)
 	declared := findEvent(name)
 	if declared == nil {
@@ -141,8 +141,8 @@
 	return ""
 }
 
-// Page returns the Markdown table that documents the events.
-func Page() string {
+// Markdown returns the Markdown table that documents the events.
+func Markdown() string {
 	var page strings.Builder
 	page.WriteString("| event | level | keys | meaning |\n| --- | --- | --- | --- |\n")
 	for _, e := range Events {
--- a/internal/loop/admission.go
+++ b/internal/loop/admission.go
@@ -42,9 +42,9 @@
 		l.notices[l.lastNumber] = &heldNotice{id: r.ID, mark: r.Mark, destination: r.Destination, acceptedAt: l.clock.Now(),
 			body: r.Body, request: r}
 		submitted = append(submitted, l.lastNumber)
-		l.events = append(l.events, rules.NoticeTaken{Notice: l.lastNumber, Grade: r.Grade, Portfolio: r.Portfolio,
-			Key: r.Key, Destination: r.Destination, Left: r.Left, Waited: toMillis(l.readDelay(r)),
-			Inherited: r.Inherited, Room: l.capacityShare(r.Body)})
+		l.events = append(l.events, rules.NoticeAccepted{Notice: l.lastNumber, Grade: r.Grade, Portfolio: r.Portfolio,
+			Key: r.Key, Destination: r.Destination, TimeLeft: r.ClientTimeout, Waited: toMillis(l.readDelay(r)),
+			Inherited: r.Inherited, SpaceShare: l.capacityShare(r.Body)})
 	}
 	return submitted
 }
@@ -53,8 +53,8 @@
 // have waited in its socket, and the time that it then waited behind earlier requests of its client.
 func (l *Loop) readDelay(r *intake.Request) time.Duration {
 	delay := l.arrivals.maxReadDelay(l.now)
-	if !r.Since.IsZero() {
-		delay += l.now.Sub(r.Since)
+	if !r.EarliestArrival.IsZero() {
+		delay += l.now.Sub(r.EarliestArrival)
 	}
 	return delay
 }
@@ -62,7 +62,8 @@
 // capacityShare returns the share of this sender's capacity that a notice uses: of the memory for bodies or of the
 // ledger, whichever is larger.
 func (l *Loop) capacityShare(body *buffers.Chain) float64 {
-	return max(float64(body.Held())/float64(l.config.Limits.HeldBytes), ledger.Share(l.config.Limits.Disk, body.Len()))
+	return max(float64(body.Held())/float64(l.config.Limits.HeldBytes),
+		ledger.CapacityShare(l.config.Limits.Disk, body.Len()))
 }
 
 // reject answers a request with an error status instead of accepting it.
@@ -86,7 +87,7 @@
 	if len(submitted) == 0 {
 		return nil
 	}
-	finalActions := rules.Ends(actions)
+	finalActions := rules.FinalAnswers(actions)
 	for _, number := range submitted {
 		n := l.notices[number]
 		r := n.request
@@ -98,10 +99,10 @@
 			l.answerDismissed(r, 500, 0)
 			continue
 		}
-		err := l.ledger.Taken(ledger.Notice{Number: number, ID: r.ID, Mark: r.Mark,
+		err := l.ledger.RecordAccepted(ledger.Notice{Number: number, ID: r.ID, Mark: r.Mark,
 			Grade:     settings.Name(l.config.Names.Grades, int(r.Grade)),
 			Portfolio: settings.Name(l.config.Names.Portfolios, int(r.Portfolio)), Key: r.Key, Destination: r.Destination,
-			Until: l.now.Add(toDuration(r.Left)), TakenAt: n.acceptedAt,
+			Until: l.now.Add(toDuration(r.ClientTimeout)), TakenAt: n.acceptedAt,
 			WaitedMS: int64(math.Ceil(float64(toMillis(l.readDelay(r))))), Inherited: r.Inherited, Body: r.Body.AppendTo(nil)})
 		if err != nil {
 			l.withdraw(number, r)
@@ -119,7 +120,7 @@
 	l.intake.Answer(r, 503, 0)
 	n := l.notices[number]
 	n.ended = true
-	l.calls.CallOff(number) // a call whose connection is still being established must not be sent
+	l.calls.Cancel(number) // a call whose connection is still being established must not be sent
 	l.release(number, n)
 	l.events = append(l.events, rules.NoticeWithdrawn{Notice: number})
 }
@@ -141,7 +142,7 @@
 				"grade", settings.Name(l.config.Names.Grades, int(r.Grade)),
 				"portfolio", settings.Name(l.config.Names.Portfolios, int(r.Portfolio)),
 				"key", strconv.FormatUint(uint64(r.Key), 10),
-				"destination", r.Destination, "body", r.Body.Len(), "left", toDuration(r.Left))
+				"destination", r.Destination, "body", r.Body.Len(), "left", toDuration(r.ClientTimeout))
 		}
 		l.intake.Answer(r, 202, 0)
 	}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -88,7 +88,7 @@
 	l := &Loop{config: c, log: log, started: time.Now(), notices: map[rules.NoticeID]*heldNotice{},
 		buffers: buffers.NewPool(c.Limits.Buffer), receivers: directory.NewReceivers(c.Names)}
 	l.now, l.arrivals, l.clock = l.started, newArrivals(l.started), clock.New()
-	l.pacer = pacer{maxSpacing: c.Limits.Turn, cores: c.Limits.Cores}
+	l.pacer = pacer{maxSpacing: c.Limits.TurnInterval, cores: c.Limits.Cores}
 	l.tracing = log.Enabled(context.Background(), slog.LevelDebug)
 	for _, g := range c.Settings.Grades {
 		l.acceptedIDs.retention = max(l.acceptedIDs.retention, toDuration(g.ClientTimeout))
@@ -104,7 +104,7 @@
 	for i := range l.config.Settings.Kinds {
 		l.config.Settings.Kinds[i].PerCall = 1
 	}
-	l.config.Settings.Stall = toMillis(c.Limits.Stall)
+	l.config.Settings.MaxPause = toMillis(c.Limits.MaxPause)
 	l.sender = rules.New(c.Seed, l.config.Settings)
 	l.intake = intake.New(c.Limits, l.buffers, c.Names, l.receivers.Knows,
 		func() string { return l.currentCounters().Page() })
@@ -113,7 +113,7 @@
 	l.directory = directory.New(c.Discovery, c.Limits, l.buffers, l.receivers, c.Known.Revision)
 	known := c.Known
 	known.Complete = true
-	listed, err := l.receivers.Told(known)
+	listed, err := l.receivers.Apply(known)
 	if err != nil {
 		return nil, fmt.Errorf("the configured receivers are invalid: %w", err)
 	}
@@ -131,9 +131,9 @@
 	if l.net, err = sockets.Start(c.Listen, c.Limits, l.buffers, l.intake); err != nil {
 		return nil, err
 	}
-	l.calls.Use(l.net)
-	l.directory.Use(l.net)
-	if !c.Settings.ListOnAsk {
+	l.calls.SetNet(l.net)
+	l.directory.SetNet(l.net)
+	if !c.Settings.WatchOnRequest {
 		l.directory.Watch()
 	}
 	log.Info(logs.Ready, "listen", c.Listen, "receivers", len(known.Members), "restored", l.counters.Restored)
@@ -151,8 +151,8 @@
 // Signals holds the requests from outside that a running sender reacts to: to shut down, to log its counters, and
 // to reload its configuration.
 type Signals struct {
-	Leave, Tell, Reload <-chan os.Signal
-	Read                func() (Config, error) // reads the current configuration
+	Shutdown, LogCounters, Reload <-chan os.Signal
+	ReadConfig                    func() (Config, error) // reads the current configuration
 }
 
 // Run serves until a shutdown signal, and then until the calls in flight have their outcomes or the time for that
@@ -163,15 +163,16 @@
 		select {
 		case <-l.net.Ready():
 		case <-timer.C:
-		case <-signals.Tell:
-			l.log.Info(logs.CountersLine, "sender", l.currentCounters(), "held", len(l.notices), "owed", l.directory.Owed())
+		case <-signals.LogCounters:
+			l.log.Info(logs.CountersLine, "sender", l.currentCounters(), "held", len(l.notices), "owed",
+				l.directory.Pending())
 		case <-signals.Reload:
-			l.reload(signals.Read())
-		case <-signals.Leave:
+			l.reload(signals.ReadConfig())
+		case <-signals.Shutdown:
 			if l.shutdownAt.IsZero() {
 				l.shutdownAt = time.Now()
 				l.intake.Leaving = true
-				l.log.Info(logs.Leaving, "held", len(l.notices), "out", l.calls.Out())
+				l.log.Info(logs.Leaving, "held", len(l.notices), "out", l.calls.Outstanding())
 			}
 		}
 		// A busy sender waits here, so that one turn processes the events of a short period together.
@@ -191,7 +192,7 @@
 	for _, r := range l.intake.Take() {
 		l.reject(r, 503)
 	}
-	l.log.Info(logs.CountersLine, "sender", l.currentCounters(), "held", len(l.notices), "owed", l.directory.Owed())
+	l.log.Info(logs.CountersLine, "sender", l.currentCounters(), "held", len(l.notices), "owed", l.directory.Pending())
 	l.net.Stop()
 	l.ledger.Close()
 }
@@ -206,8 +207,8 @@
 		return
 	}
 	l.counters.Reloads++
-	l.log.Info(logs.Reloaded, "discovery", c.Discovery, "owed", l.directory.Owed())
-	l.directory.Move(c.Discovery)
+	l.log.Info(logs.Reloaded, "discovery", c.Discovery, "owed", l.directory.Pending())
+	l.directory.SetAddress(c.Discovery)
 }
 
 // turn runs one iteration of the loop. It returns when the next one is due if no event comes earlier, and whether
@@ -216,17 +217,17 @@
 	l.counters.Turns++
 	l.now = time.Now()
 	l.arrivals.startTurn(l.now)
-	l.calls.Begin(l.now)
+	l.calls.BeginTurn(l.now)
 	l.setTime(l.now)
 	l.net.Gather()
 	// Requested waits begin at this time: the responses just read may have arrived after the turn began.
 	l.setTime(time.Now())
-	l.intake.MakeRoom()
+	l.intake.CloseIdleClients()
 	l.calls.Expire()
 	// The cooldown of a key begins at this time: a call that expired just now may have been in flight until now.
 	l.setTime(time.Now())
 	if !l.now.Before(l.nextSweep) {
-		l.nextSweep = l.now.Add(l.config.Limits.Sweep)
+		l.nextSweep = l.now.Add(l.config.Limits.SweepInterval)
 		l.intake.Sweep(l.now)
 		l.calls.Sweep()
 	}
@@ -250,11 +251,11 @@
 		l.recallAll()
 		l.events = l.events[:0] // what they report is already in the ledger
 	}
-	for _, number := range l.directory.Told() {
+	for _, number := range l.directory.TakeConfirmed() {
 		if l.tracing {
 			l.log.Debug(logs.Closed, "notice", number)
 		}
-		l.logLedgerError(l.ledger.Closed(number))
+		l.logLedgerError(l.ledger.RecordClosed(number))
 	}
 	if _, err := l.ledger.Flush(); err != nil {
 		l.logLedgerError(err)
@@ -266,9 +267,9 @@
 	case sinceShutdown >= ownLimits.ExitBy:
 		done = true
 	case sinceShutdown >= ownLimits.SendUntil:
-		done = l.calls.Out() == 0 && l.directory.Owed() == 0 && l.awaitingConfirmation == 0
+		done = l.calls.Outstanding() == 0 && l.directory.Pending() == 0 && l.awaitingConfirmation == 0
 	case sinceShutdown >= ownLimits.Linger:
-		done = len(l.notices) == 0 && l.directory.Owed() == 0
+		done = len(l.notices) == 0 && l.directory.Pending() == 0
 	}
 	return next, done
 }
@@ -276,9 +277,9 @@
 // setTime sets the current time of the loop and of its parts.
 func (l *Loop) setTime(now time.Time) {
 	l.now = now
-	l.intake.At(now)
-	l.calls.At(now)
-	l.directory.At(now)
+	l.intake.SetTime(now)
+	l.calls.SetTime(now)
+	l.directory.SetTime(now)
 }
 
 // recallAll recalls the calls whose connections have been established now that no trip may begin any more.
@@ -294,7 +295,7 @@
 func (l *Loop) nextDue() time.Time {
 	next := l.nextSweep
 	due := append([]time.Time{l.calls.Expire(), l.directory.Step()}, l.timers...)
-	if len(l.events) > 0 || l.calls.Waiting() {
+	if len(l.events) > 0 || l.calls.HasReports() {
 		return l.now
 	}
 	for _, at := range due {
@@ -308,18 +309,18 @@
 // collectEvents turns what the connections and the receiver list have reported into events.
 func (l *Loop) collectEvents() {
 	l.reportRestored()
-	lists, failed := l.directory.Lists()
+	lists, failed := l.directory.TakeLists()
 	for _, list := range lists {
 		l.events = append(l.events, list)
 	}
-	for _, receiver := range l.receivers.Gone() {
-		l.calls.Forget(receiver)
+	for _, receiver := range l.receivers.TakeRemoved() {
+		l.calls.RemoveReceiver(receiver)
 	}
-	if l.directory.Why != "" {
-		l.log.Warn(logs.PlatformBroken, "why", l.directory.Why)
-		l.directory.Why = ""
+	if l.directory.LastFault != "" {
+		l.log.Warn(logs.PlatformBroken, "why", l.directory.LastFault)
+		l.directory.LastFault = ""
 	}
-	if failed && l.config.Settings.ListOnAsk {
+	if failed && l.config.Settings.WatchOnRequest {
 		l.directory.Stop()
 		l.events = append(l.events, rules.ListFailed{})
 	}
@@ -328,13 +329,13 @@
 		l.events = append(l.events, e)
 	}
 	l.collectConfirmations()
-	for _, wait := range l.calls.Waits() {
+	for _, wait := range l.calls.RequestedWaits() {
 		if l.tracing {
-			l.log.Debug(logs.WaitTold, "receiver", wait.Receiver, "wait", toDuration(wait.Wait))
+			l.log.Debug(logs.WaitRequested, "receiver", wait.Receiver, "wait", toDuration(wait.Wait))
 		}
 		l.events = append(l.events, wait)
 	}
-	for _, up := range l.calls.Up() {
+	for _, up := range l.calls.Established() {
 		l.events = append(l.events, up)
 	}
 	timersBefore := len(l.timers)
@@ -358,7 +359,7 @@
 		n := l.notices[a.Notice]
 		if n == nil { // it was rejected in this turn because the ledger could not record it
 			l.events = append(l.events,
-				rules.TripEnded{Notice: a.Notice, Receiver: a.Receiver, Result: rules.Moot, Over: true})
+				rules.TripEnded{Notice: a.Notice, Receiver: a.Receiver, Result: rules.NotSent, NoticeEnded: true})
 			return
 		}
 		n.inFlight = true
@@ -372,7 +373,7 @@
 		}
 		l.calls.Send(&calls.Call{Notice: a.Notice, Trip: n.trips, Receiver: a.Receiver, Destination: n.destination,
 			Address: l.receivers.Addresses[a.Receiver], Zone: l.receivers.Zones[a.Receiver],
-			ID: n.id, Mark: n.mark, Body: n.body, TimeOut: toDuration(a.TimeOut)})
+			ID: n.id, Mark: n.mark, Body: n.body, Timeout: toDuration(a.TimeOut)})
 	case rules.Write:
 		l.calls.Write(a.Notice)
 	case rules.Recall:
@@ -385,9 +386,9 @@
 	case rules.BreakOff:
 		l.endNotice(a.Notice, directory.GivenUp, 0)
 	case rules.CallOff:
-		l.calls.CallOff(a.Notice)
+		l.calls.Cancel(a.Notice)
 	case rules.LetGo:
-		l.calls.LetGo(a.Receiver)
+		l.calls.CloseIdle(a.Receiver)
 	case rules.SetTimer:
 		l.timers = append(l.timers, l.now.Add(toDuration(a.After)))
 	case rules.WatchList:
@@ -402,11 +403,12 @@
 	c := l.counters
 	c.Refusals = l.intake.Refused
 	c.OverCapacity = c.OverHoldLimit + c.OverBodyMemory + c.OverLedgerCapacity
-	c.CallsInFlight, c.NoticesHeld = l.calls.Out(), len(l.notices)-l.awaitingConfirmation
+	c.CallsInFlight, c.NoticesHeld = l.calls.Outstanding(), len(l.notices)-l.awaitingConfirmation
 	c.Rejected = c.Unreadable + c.Unknown + c.Malformed + c.Late + c.Leaving + c.RepeatedIDs + c.OverCapacity
-	c.MalformedPlatformResponses, c.UnreadBuffers = l.directory.Broken, l.net.Unheard()
-	c.Connections = l.calls.Made()
+	c.MalformedPlatformResponses, c.UnreadBuffers = l.directory.UnusableResponses, l.net.DiscardedBuffers()
+	c.Connections = l.calls.ConnectionsOpened()
 	c.UnusableResponses, c.TrailingBytes, c.StaleConnections, c.Unsolicited =
-		l.calls.Spoilt, l.calls.Beyond, l.calls.Stale, l.calls.Unasked
+		l.calls.MalformedResponses, l.calls.ResponsesWithTrailingBytes, l.calls.StaleConnections,
+		l.calls.UnsolicitedReads
 	return c
 }
--- a/internal/loop/outcomes.go
+++ b/internal/loop/outcomes.go
@@ -21,7 +21,7 @@
 	n.inFlight = false
 	if l.tracing {
 		l.log.Debug(logs.Outcome, "id", n.id, "notice", e.Notice, "receiver", e.Receiver, "result", e.Result,
-			"spent", toDuration(e.Spent), "wait", toDuration(e.Wait))
+			"spent", toDuration(e.Duration), "wait", toDuration(e.RequestedWait))
 	}
 	switch e.Result {
 	case rules.Handled:
@@ -32,9 +32,9 @@
 		l.counters.Errored++
 	case rules.NotConnected:
 		l.counters.NotConnected++
-	case rules.Moot:
+	case rules.NotSent:
 		l.counters.NotSent++
-	case rules.Short:
+	case rules.LocalShortage:
 		l.counters.LocalShortages++
 		l.uncountTrip(n)
 	case rules.Recalled:
@@ -48,11 +48,11 @@
 	tripRecorded := n.tripRecorded
 	n.tripRecorded = false
 	switch {
-	case e.Result == rules.Handled && !n.ended && l.sender.AnswerMayBeLate(e.Notice, toMillis(l.now.Sub(l.started))):
+	case e.Result == rules.Handled && !n.ended && l.sender.ResponseMayBeLate(e.Notice, toMillis(l.now.Sub(l.started))):
 		l.counters.HandledLate++
 		l.endNotice(e.Notice, directory.GivenUp, 0)
 		return
-	case e.Over:
+	case e.NoticeEnded:
 		n.ended = true
 		l.writeOutcomeOnceConfirmed(e, n)
 	case tripRecorded && didNotRun(e.Result):
@@ -63,7 +63,8 @@
 
 // didNotRun reports whether a result proves that the trip had no effect at the receiver.
 func didNotRun(r rules.Result) bool {
-	return r == rules.Full || r == rules.NotConnected || r == rules.Moot || r == rules.Short || r == rules.Recalled
+	return r == rules.Full || r == rules.NotConnected || r == rules.NotSent || r == rules.LocalShortage ||
+		r == rules.Recalled
 }
 
 // confirmTime returns how long after a response of a receiver the correct one would still arrive, if that response
@@ -97,9 +98,9 @@
 // writeOutcome records in the ledger that a notice is ended, or else that its last trip has not run.
 func (l *Loop) writeOutcome(number rules.NoticeID, n *heldNotice) {
 	if n.ended {
-		l.logLedgerError(l.ledger.Closed(number))
+		l.logLedgerError(l.ledger.RecordClosed(number))
 	} else {
-		l.logLedgerError(l.ledger.Unrun(number))
+		l.logLedgerError(l.ledger.RecordNotRun(number))
 	}
 }
 
@@ -108,11 +109,11 @@
 	for _, c := range l.calls.Confirmed() {
 		l.applyConfirmation(c)
 	}
-	for _, d := range l.calls.Doubts() {
+	for _, d := range l.calls.Retractions() {
 		l.retractOutcome(d)
 	}
-	for _, receiver := range l.calls.Surplus() {
-		l.events = append(l.events, rules.SurplusHeard{Receiver: receiver})
+	for _, receiver := range l.calls.UnsolicitedFrom() {
+		l.events = append(l.events, rules.UnsolicitedBytes{Receiver: receiver})
 	}
 }
 
@@ -141,19 +142,19 @@
 // retractOutcome retracts a trip's outcome: it is no longer known whether the notice was delivered or the trip
 // never ran. A notice that had ended is reported to the platform as given up, which does no harm if it was
 // delivered.
-func (l *Loop) retractOutcome(d calls.Doubt) {
+func (l *Loop) retractOutcome(d calls.Retraction) {
 	n := l.notices[d.Notice]
 	l.counters.Retracted++
-	l.log.Warn(logs.Doubted, "id", d.ID, "notice", d.Notice, "receiver", d.Receiver,
-		"written_ago", l.now.Sub(d.Written), "held", n != nil && !n.ended)
-	l.events = append(l.events, rules.OutcomeDoubted{Notice: d.Notice, Receiver: d.Receiver,
-		SentAgo: toMillis(l.now.Sub(d.Written))})
+	l.log.Warn(logs.OutcomeRetracted, "id", d.ID, "notice", d.Notice, "receiver", d.Receiver,
+		"written_ago", l.now.Sub(d.WrittenAt), "held", n != nil && !n.ended)
+	l.events = append(l.events, rules.OutcomeRetracted{Notice: d.Notice, Receiver: d.Receiver,
+		SentAgo: toMillis(l.now.Sub(d.WrittenAt))})
 	switch {
 	case n == nil && l.endedIDs.has(d.ID):
 	case n == nil:
 		l.endedIDs.add(d.ID, l.now)
 		l.counters.GivenUp++
-		l.directory.Ended(directory.End{Notice: d.Notice, Message: d.ID, Outcome: directory.GivenUp})
+		l.directory.ReportOutcome(directory.FinalOutcome{Notice: d.Notice, Message: d.ID, Outcome: directory.GivenUp})
 	case !n.ended:
 		n.unconfirmed = false
 	case n.unconfirmed:
@@ -173,10 +174,10 @@
 // recordTrip records a trip in the ledger, just before its call is written. On an error the call must not be
 // written.
 func (l *Loop) recordTrip(c *calls.Call) error {
-	if left := l.sender.WaitLeft(c.Receiver, toMillis(l.now.Sub(l.started))); left > 0 {
+	if left := l.sender.RemainingWait(c.Receiver, toMillis(l.now.Sub(l.started))); left > 0 {
 		l.counters.WrittenDuringWait++
 		l.log.Warn(logs.WrittenInWait, "id", c.ID, "notice", c.Notice, "receiver", c.Receiver,
-			"begun_ago", l.now.Sub(c.Begun), "left", toDuration(left))
+			"begun_ago", l.now.Sub(c.StartedAt), "left", toDuration(left))
 	}
 	zone := settings.Name(l.config.Names.Zones, int(c.Zone))
 	n := l.notices[c.Notice]
@@ -185,7 +186,7 @@
 	}
 	// By the wall clock as it stood when the notice was accepted, like the notice's other times.
 	at := l.now.Add(-n.acceptedAt.Stepped(l.clock.Now()))
-	err := l.ledger.Trip(c.Notice, ledger.Trip{At: at, Zone: zone})
+	err := l.ledger.RecordTrip(c.Notice, ledger.Trip{At: at, Zone: zone})
 	l.logLedgerError(err)
 	n.tripRecorded = err == nil
 	return err
@@ -214,8 +215,9 @@
 			l.log.Debug(logs.Ended, "id", n.id, "notice", number, "outcome", outcome, "retry_in_ms", float64(retryAfter))
 		}
 		l.endedIDs.add(n.id, l.now)
-		l.logLedgerError(l.ledger.Ended(number, outcome, float64(retryAfter)))
-		l.directory.Ended(directory.End{Notice: number, Message: n.id, Outcome: outcome, RetryInMS: float64(retryAfter)})
+		l.logLedgerError(l.ledger.RecordOutcome(number, outcome, float64(retryAfter)))
+		l.directory.ReportOutcome(directory.FinalOutcome{Notice: number, Message: n.id, Outcome: outcome,
+			RetryInMS: float64(retryAfter)})
 	}
 	n.unconfirmed = false // the final outcome stands, whatever the result of the last trip
 	n.ended = true
--- a/internal/loop/restore.go
+++ b/internal/loop/restore.go
@@ -16,8 +16,9 @@
 	l.counters.Restored++
 	l.acceptedIDs.add(n.ID, l.now)
 	l.lastNumber = max(l.lastNumber, n.Number)
-	if n.Ended != "" {
-		l.directory.Ended(directory.End{Notice: n.Number, Message: n.ID, Outcome: n.Ended, RetryInMS: n.RetryMS})
+	if n.Outcome != "" {
+		l.directory.ReportOutcome(directory.FinalOutcome{Notice: n.Number, Message: n.ID, Outcome: n.Outcome,
+			RetryInMS: n.RetryAfterMS})
 		return
 	}
 	body := l.buffers.NewChain()
@@ -37,22 +38,24 @@
 	}
 	now := l.clock.Now()
 	for _, n := range l.restored {
-		if stepped := n.Adjust(now); stepped != 0 {
+		if stepped := n.AdjustForClockStep(now); stepped != 0 {
 			l.log.Warn(logs.ClockStepped, "notice", n.Number, "stepped", stepped)
 		}
-		event := rules.NoticeTaken{Notice: n.Number,
+		event := rules.NoticeAccepted{Notice: n.Number,
 			Grade:     rules.GradeID(settings.Index(l.config.Names.Grades, n.Grade)),
 			Portfolio: rules.PortfolioID(settings.Index(l.config.Names.Portfolios, n.Portfolio)), Key: n.Key,
-			Destination: n.Destination, Left: toMillis(n.Until.Sub(l.now)), Waited: rules.Millis(n.WaitedMS),
+			Destination: n.Destination, TimeLeft: toMillis(n.Until.Sub(l.now)), Waited: rules.Millis(n.WaitedMS),
 			Inherited: n.Inherited,
-			Trips:     n.Trips, Ran: len(n.Ran), Room: l.capacityShare(l.notices[n.Number].body)}
-		if len(n.Ran) > 0 {
-			event.RanAgo = toMillis(l.now.Sub(n.Ran[0].At))
-			event.RanZone = rules.ZoneID(settings.Index(l.config.Names.Zones, n.Ran[0].Zone))
+			Trips:     n.Trips, PossibleRuns: len(n.PossibleRuns),
+			SpaceShare: l.capacityShare(l.notices[n.Number].body)}
+		if len(n.PossibleRuns) > 0 {
+			event.FirstRunAgo = toMillis(l.now.Sub(n.PossibleRuns[0].At))
+			event.FirstRunZone = rules.ZoneID(settings.Index(l.config.Names.Zones, n.PossibleRuns[0].Zone))
 		}
 		if l.tracing {
-			l.log.Debug(logs.Restored, "id", n.ID, "notice", n.Number, "trips", n.Trips, "may_have_run", len(n.Ran),
-				"left", toDuration(event.Left))
+			l.log.Debug(logs.Restored, "id", n.ID, "notice", n.Number, "trips", n.Trips, "may_have_run",
+				len(n.PossibleRuns),
+				"left", toDuration(event.TimeLeft))
 		}
 		l.events = append(l.events, event)
 	}
--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -41,7 +41,7 @@
 	case !slices.Contains(Policies(), name):
 		return nil, fmt.Errorf("no policy %q; want one of %s", name, strings.Join(Policies(), ", "))
 	}
-	w := scenario.Lay(s)
+	w := scenario.NewInstance(s)
 	return func(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider {
 		return &baseline{policy: name, settings: settings, startedAt: startedAt, world: w,
 			rng:     rand.New(rand.NewPCG(seed, 1)),
@@ -52,7 +52,7 @@
 
 // baselineNotice is a notice as a baseline keeps it.
 type baselineNotice struct {
-	rules.NoticeTaken
+	rules.NoticeAccepted
 	deadline, readyAt rules.Millis
 	trips             int
 	mayHaveRun        bool
@@ -91,7 +91,7 @@
 	policy      string
 	settings    rules.Settings
 	startedAt   rules.Millis
-	world       *scenario.World
+	world       *scenario.Instance
 	rng         *rand.Rand
 	now         rules.Millis
 	notices     map[rules.NoticeID]*baselineNotice
@@ -112,11 +112,11 @@
 	p.now, p.actions = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case rules.ListTold:
+		case rules.ListUpdated:
 			p.updateList(e)
-		case rules.NoticeTaken:
-			n := &baselineNotice{NoticeTaken: e, deadline: now + e.Left, readyAt: now, trips: e.Trips,
-				mayHaveRun: e.Ran > 0}
+		case rules.NoticeAccepted:
+			n := &baselineNotice{NoticeAccepted: e, deadline: now + e.TimeLeft, readyAt: now, trips: e.Trips,
+				mayHaveRun: e.PossibleRuns > 0}
 			p.notices[e.Notice] = n
 			p.retryTokens = min(p.retryTokens+0.1, 100)
 			heap.Push(&p.waiting, n)
@@ -139,8 +139,8 @@
 }
 
 // updateList applies a report of the receiver list.
-func (p *baseline) updateList(e rules.ListTold) {
-	if e.Whole {
+func (p *baseline) updateList(e rules.ListUpdated) {
+	if e.Complete {
 		for _, rc := range p.receivers {
 			rc.ready = false
 		}
@@ -157,7 +157,7 @@
 			p.receivers[x.Receiver] = rc
 			d.receivers = append(d.receivers, rc)
 		}
-		rc.ready = x.Standing == rules.Ready
+		rc.ready = x.Status == rules.Ready
 	}
 }
 
@@ -173,16 +173,16 @@
 	p.usedSlots--
 	rc.inFlight--
 	d.inFlight--
-	if e.LimitTold {
+	if e.LimitReported {
 		d.reportedRate = e.LimitRate
 	}
 	p.learn(d, e)
-	if e.Result == rules.Handled || e.Over {
+	if e.Result == rules.Handled || e.NoticeEnded {
 		delete(p.notices, e.Notice)
 		return
 	}
-	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot ||
-		e.Result == rules.Short
+	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.NotSent ||
+		e.Result == rules.LocalShortage
 	n.mayHaveRun = n.mayHaveRun || !notRun
 	grade := p.settings.Grades[n.Grade]
 	limit := p.settings.TripLimit
@@ -200,7 +200,7 @@
 		p.endNotice(n)
 		return
 	}
-	n.readyAt = p.now + e.Wait
+	n.readyAt = p.now + e.RequestedWait
 	if p.policy != Immediate {
 		n.readyAt += rules.Millis(p.rng.Float64() * math.Min(50*math.Exp2(float64(n.trips)), float64(grade.QuotedTime)))
 	}
@@ -209,10 +209,10 @@
 
 // learn updates the state of a destination from the result of a trip.
 func (p *baseline) learn(d *baselineDestination, e rules.TripEnded) {
-	failed := e.Result != rules.Handled && e.Result != rules.Full && e.Result != rules.Short
+	failed := e.Result != rules.Handled && e.Result != rules.Full && e.Result != rules.LocalShortage
 	switch p.policy {
 	case Gradient:
-		spent := float64(max(e.Spent, 0.1))
+		spent := float64(max(e.Duration, 0.1))
 		if e.Result == rules.Handled && (d.minLatency == 0 || spent < d.minLatency) {
 			d.minLatency = spent
 		}
@@ -290,14 +290,14 @@
 	at := p.startedAt + p.now
 	destination := p.world.Destinations[d.number-1]
 	for _, f := range destination.Faults {
-		failsCalls := gateway.Outage(f) || f.Kind == scenario.Spoilt || f.Kind == scenario.Errors ||
+		failsCalls := gateway.Outage(f) || f.Kind == scenario.Malformed || f.Kind == scenario.Errors ||
 			f.Kind == scenario.ResetAfter ||
 			f.Kind == scenario.Flap || f.Kind == scenario.Dribble
 		if failsCalls && f.Active(at) {
 			return false, p.now + max(f.Next(at)-at, 1)
 		}
 	}
-	if limit := destination.Group.Shape.Limit; limit > 0 {
+	if limit := destination.Group.Profile.Limit; limit > 0 {
 		rate := limit / float64(max(p.settings.Senders, 1)) / 1000
 		d.tokens = min(d.tokens+float64(p.now-d.filledAt)*rate, max(100*rate, 1))
 		if d.filledAt = p.now; d.tokens < 1 {
