--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -46,11 +46,11 @@
 
 // Options says how to run a scenario.
 type Options struct {
-	Network Network
-	Policy  Policy // nil: Daemon
-	Workers int    // below 1: the number of processors; results don't depend on it
-	Record  bool   // keep everything that the audit needs, and audit it
-	Sick    func(destination int) bool
+	Network   Network
+	Policy    Policy // nil: Daemon
+	Workers   int    // below 1: the number of processors; results don't depend on it
+	Record    bool   // keep everything that the audit needs, and audit it
+	IsFailing func(destination int) bool
 }
 
 // Bin is the credit of the effects that were due within one part of the run.
@@ -73,30 +73,30 @@
 
 // Result is the result of a run. All figures are the model's.
 type Result struct {
-	Scenario   string          `json:"scenario"`
-	Seed       uint64          `json:"seed"`
-	All        results.Share   `json:"all"`
-	Grades     []results.Share `json:"grades"`
-	Well, Sick results.Share
-	Handed     int             `json:"handed"`
-	Taken      int             `json:"taken"`
-	Refused    int             `json:"refused"`
-	Unanswered int             `json:"unanswered"`
-	Dismissed  int             `json:"dismissed"`
-	BrokenOff  int             `json:"broken_off"`
-	Calls      int             `json:"calls"`
-	CallsFull  int             `json:"calls_full"`
-	Further    int             `json:"further"`
-	Second     int             `json:"second_effects"`
-	Short      int             `json:"short"`
-	Falls      int             `json:"falls"` // recovering destinations that were overloaded again
-	Bins       []Bin           `json:"bins,omitempty"`
-	Events     int64           `json:"events"`
-	Wall       time.Duration   `json:"-"`
-	Broken     bool            `json:"broken,omitempty"` // cancelled before its end
-	Turns      []BreakerChange `json:"-"`
-	Breaches   []audit.Breach  `json:"breaches,omitempty"`
-	View       audit.View      `json:"-"`
+	Scenario       string          `json:"scenario"`
+	Seed           uint64          `json:"seed"`
+	All            results.Share   `json:"all"`
+	Grades         []results.Share `json:"grades"`
+	Well, Sick     results.Share
+	Handed         int             `json:"handed"`
+	Taken          int             `json:"taken"`
+	Refused        int             `json:"refused"`
+	Unanswered     int             `json:"unanswered"`
+	Dismissed      int             `json:"dismissed"`
+	BrokenOff      int             `json:"broken_off"`
+	Calls          int             `json:"calls"`
+	CallsFull      int             `json:"calls_full"`
+	Further        int             `json:"further"`
+	Second         int             `json:"second_effects"`
+	Short          int             `json:"short"`
+	Overloads      int             `json:"falls"` // recovering destinations that were overloaded again
+	Bins           []Bin           `json:"bins,omitempty"`
+	Events         int64           `json:"events"`
+	Wall           time.Duration   `json:"-"`
+	Broken         bool            `json:"broken,omitempty"` // cancelled before its end
+	BreakerChanges []BreakerChange `json:"-"`
+	Breaches       []audit.Breach  `json:"breaches,omitempty"`
+	View           audit.View      `json:"-"`
 }
 
 // Node numbers: the clients and the platform share the first, then come the senders, then the sites.
@@ -107,7 +107,7 @@
 
 // world is a scenario instance, with data that all nodes may read.
 type world struct {
-	*scenario.World
+	*scenario.Instance
 	options       Options
 	record        bool
 	turnInterval  rules.Millis
@@ -116,7 +116,7 @@
 	destinationOf []int32 // by receiver number
 	apart         []bool  // by destination: each receiver is a separate route
 	kinds         []rules.KindID
-	firstList     rules.ListTold
+	firstList     rules.ListUpdated
 }
 
 // receiver returns the number of a receiver.
@@ -139,8 +139,8 @@
 
 // isFailing reports whether results count a destination as failing.
 func (w *world) isFailing(destination int) bool {
-	if w.options.Sick != nil {
-		return w.options.Sick(destination)
+	if w.options.IsFailing != nil {
+		return w.options.IsFailing(destination)
 	}
 	return len(w.Destinations[destination-1].Faults) > 0
 }
@@ -150,12 +150,12 @@
 	id := w.receiverIDs[name]
 	destination := int(w.destinationOf[id])
 	entry := rules.Entry{Receiver: id, Destination: rules.DestinationID(destination), Kind: w.kinds[destination],
-		ListedRate: w.Destinations[destination-1].Group.Shape.Limit}
+		ListedRate: w.Destinations[destination-1].Group.Profile.Limit}
 	switch standing {
 	case "ready":
-		entry.Standing = rules.Ready
+		entry.Status = rules.Ready
 	case "draining":
-		entry.Standing = rules.Draining
+		entry.Status = rules.Draining
 	}
 	return entry
 }
@@ -170,7 +170,7 @@
 
 // senderSeed derives the seed of one start of a sender.
 func senderSeed(seed uint64, sender int, startCount uint64) uint64 {
-	return scenario.Chance(seed, 1<<42+uint64(sender)+startCount<<32).Uint64()
+	return scenario.NewRand(seed, 1<<42+uint64(sender)+startCount<<32).Uint64()
 }
 
 // toMillis converts a duration to milliseconds.
@@ -189,14 +189,14 @@
 	if workers < 1 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	run := &world{World: scenario.Lay(played), options: options, record: options.Record,
+	run := &world{Instance: scenario.NewInstance(played), options: options, record: options.Record,
 		turnInterval: played.Settings.Tick / 10, receiverIDs: map[string]rules.ReceiverID{}}
 	run.apart, run.kinds = make([]bool, len(run.Destinations)+1), make([]rules.KindID, len(run.Destinations)+1)
 	// Receiver number 0 is reserved for "no receiver".
 	run.receiverNames, run.destinationOf = []string{""}, []int32{0}
 	for _, d := range run.Destinations {
 		if k := slices.Index(run.Names.Kinds, d.Group.Kind); k >= 0 {
-			run.kinds[d.Number], run.apart[d.Number] = rules.KindID(k), run.Settings.Kinds[k].Apart
+			run.kinds[d.Number], run.apart[d.Number] = rules.KindID(k), run.Settings.Kinds[k].SeparateRoutes
 		} else {
 			run.kinds[d.Number] = rules.KindID(len(run.Names.Kinds))
 		}
@@ -204,7 +204,7 @@
 			run.addReceiver(name, d.Number)
 		}
 	}
-	run.firstList.Whole = true
+	run.firstList.Complete = true
 	for _, d := range run.Destinations {
 		for _, name := range d.Receivers {
 			run.firstList.Entries = append(run.firstList.Entries, run.listEntry(name, "ready"))
@@ -257,11 +257,11 @@
 		result.CallsFull += one.counts.fullResponses
 		result.Further += one.counts.furtherCalls
 		result.Second += one.counts.secondEffects
-		result.Falls += len(one.overloads)
+		result.Overloads += len(one.overloads)
 	}
 	for _, one := range senders {
 		result.Short += one.counts.localShortages
-		result.Turns = append(result.Turns, one.breakerChanges...)
+		result.BreakerChanges = append(result.BreakerChanges, one.breakerChanges...)
 	}
 	if options.Record {
 		result.View = view(clients, senders, sites)
@@ -278,23 +278,23 @@
 
 // view collects what all nodes recorded, for the audit.
 func view(c *client, senders []*sender, sites []*site) audit.View {
-	v := audit.View{Ends: c.outcomes, Shut: c.refusals}
+	v := audit.View{Outcomes: c.outcomes, RefusedReports: c.refusals}
 	for _, h := range c.submissions {
-		v.Hands = append(v.Hands, audit.Hand{ID: h.id, Effect: effectName(h.effect),
+		v.Submissions = append(v.Submissions, audit.Submission{ID: h.id, Effect: effectName(h.effect),
 			Mark: h.effect.idempotencyKey, Grade: h.effect.Grade,
 			Portfolio: h.effect.Portfolio, Key: h.effect.Key, Dest: h.effect.Destination, Sender: h.sender,
 			At: h.submittedAt, Until: h.deadline, Intended: h.effect.At,
-			Again: h.resubmission, Status: h.status, Answered: h.answeredAt})
+			Resubmitted: h.resubmission, Status: h.status, Answered: h.answeredAt})
 	}
 	for _, s := range sites {
 		for _, recorded := range s.recordedCalls {
 			v.Calls = append(v.Calls, recorded.record)
 		}
-		v.Falls = append(v.Falls, s.overloads...)
+		v.Overloads = append(v.Overloads, s.overloads...)
 	}
 	for _, s := range senders {
-		v.Told = append(v.Told, s.listRecords...)
-		v.Lives = append(v.Lives, s.lifeRecords...)
+		v.Listings = append(v.Listings, s.listRecords...)
+		v.SenderEvents = append(v.SenderEvents, s.lifeRecords...)
 	}
 	return v
 }
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -96,7 +96,7 @@
 	for seed := range uint64(seeds(t, 80)) {
 		r := Run(context.Background(), load(t, "brief", seed+1, true), Options{Workers: 1, Record: true})
 		if len(r.Breaches) > 0 {
-			t.Errorf("seed %d: %s", seed+1, audit.Tell(r.Breaches))
+			t.Errorf("seed %d: %s", seed+1, audit.FormatBreaches(r.Breaches))
 		}
 		asked += r.All.Asked
 	}
--- a/internal/model/outside.go
+++ b/internal/model/outside.go
@@ -72,7 +72,7 @@
 	senderStates []int8 // by sender: 0 up, 1 down but clients have not noticed, 2 known to be down
 	watching     []bool // by sender: subscribed to changes of the receiver list
 	script       []scriptStep
-	currentList  []audit.Told // the receiver list now in force, in the order of the changes
+	currentList  []audit.Listing // the receiver list now in force, in the order of the changes
 
 	openEffects []*effect // not settled yet
 	all         *results.Tally
@@ -82,8 +82,8 @@
 	bins        []Bin
 
 	submissions []*submission
-	outcomes    []audit.End
-	refusals    []audit.Shut
+	outcomes    []audit.FinalOutcome
+	refusals    []audit.RefusedReport
 	counts      struct{ submitted, accepted, refused, unanswered, dismissed, brokenOff int }
 }
 
@@ -95,7 +95,7 @@
 
 // newClient creates the clients and the platform, and schedules the script and the first effect.
 func newClient(w *world, p port) *client {
-	c := &client{port: p, world: w, arrivals: w.Arrivals(), rng: scenario.Chance(w.Seed, 1<<40),
+	c := &client{port: p, world: w, arrivals: w.Arrivals(), rng: scenario.NewRand(w.Seed, 1<<40),
 		senderStates: make([]int8, w.Senders),
 		watching:     make([]bool, w.Senders), all: results.NewTally("all"), healthy: results.NewTally("well"),
 		failing: results.NewTally("sick")}
@@ -182,7 +182,7 @@
 		c.submissions = append(c.submissions, h)
 	}
 	c.post(int32(h.sender+firstSenderNode), c.transitTime(), event{kind: evSubmission, submission: h})
-	c.schedule(c.world.Traffic.Patience, event{kind: evAnswerTimeout, submission: h})
+	c.schedule(c.world.Traffic.AnswerTimeout, event{kind: evAnswerTimeout, submission: h})
 }
 
 // handleAnswer handles a sender's answer, or the lack of one.
@@ -211,7 +211,7 @@
 
 // resubmitLater submits an effect again after a delay, if its client wants that and the client timeout allows it.
 func (c *client) resubmitLater(sub *submission, delay rules.Millis) {
-	resubmits := c.rng.Float64() < c.world.Traffic.Again
+	resubmits := c.rng.Float64() < c.world.Traffic.ResubmitShare
 	if resubmits && c.now()+delay < sub.deadline {
 		c.schedule(delay, event{kind: evResubmit, submission: sub})
 	}
@@ -222,13 +222,14 @@
 	confirmation := event{kind: evOutcomeAccepted, value: e.value}
 	sender := int(e.from) - firstSenderNode
 	if _, on := c.activeFault(scenario.EndsRefused); on {
-		c.refusals = append(c.refusals, audit.Shut{Sender: sender, At: c.now()})
+		c.refusals = append(c.refusals, audit.RefusedReport{Sender: sender, At: c.now()})
 		confirmation.kind = evOutcomeRefused
 	} else {
 		report := e.payload.(outcomeReport)
 		if c.world.record {
-			c.outcomes = append(c.outcomes, audit.End{ID: e.submission.id, Outcome: report.outcome, Sender: sender,
-				At: c.now()})
+			c.outcomes = append(c.outcomes, audit.FinalOutcome{ID: e.submission.id, Outcome: report.outcome,
+				Sender: sender,
+				At:     c.now()})
 		}
 		if report.outcome == "handed_back" {
 			c.counts.dismissed++
@@ -253,7 +254,7 @@
 // startWatch subscribes a sender to changes of the receiver list. The whole list is sent first.
 func (c *client) startWatch(sender int) {
 	to := int32(sender + firstSenderNode)
-	if f, on := c.activeFault(scenario.ListSilent); on && c.world.Settings.ListOnAsk {
+	if f, on := c.activeFault(scenario.ListSilent); on && c.world.Settings.WatchOnRequest {
 		c.post(to, min(f.Until()-c.now(), 3000), event{kind: evListFailed})
 		return
 	}
@@ -262,25 +263,25 @@
 }
 
 // newListReport creates a report of the whole receiver list or of changes.
-func (c *client) newListReport(whole bool, receivers []audit.Told) listReport {
-	t := listReport{list: rules.ListTold{Whole: whole}, receivers: slices.Clone(receivers)}
+func (c *client) newListReport(whole bool, receivers []audit.Listing) listReport {
+	t := listReport{list: rules.ListUpdated{Complete: whole}, receivers: slices.Clone(receivers)}
 	for _, m := range receivers {
-		t.list.Entries = append(t.list.Entries, c.world.listEntry(m.Receiver, m.Standing))
+		t.list.Entries = append(t.list.Entries, c.world.listEntry(m.Receiver, m.Status))
 	}
 	return t
 }
 
 // applyListChange changes the receiver list and reports the change to all subscribed senders. While the platform is
 // silent or sends data that cannot be parsed, the reports wait.
-func (c *client) applyListChange(changes []audit.Told) {
+func (c *client) applyListChange(changes []audit.Listing) {
 	for _, m := range changes {
-		i := slices.IndexFunc(c.currentList, func(o audit.Told) bool { return o.Receiver == m.Receiver })
+		i := slices.IndexFunc(c.currentList, func(o audit.Listing) bool { return o.Receiver == m.Receiver })
 		switch {
-		case i >= 0 && m.Standing == "gone":
+		case i >= 0 && m.Status == "gone":
 			c.currentList = slices.Delete(c.currentList, i, i+1)
 		case i >= 0:
 			c.currentList[i] = m
-		case m.Standing != "gone":
+		case m.Status != "gone":
 			c.currentList = append(c.currentList, m)
 		}
 	}
@@ -303,7 +304,7 @@
 	add := func(at rules.Millis, run func()) { c.script = append(c.script, scriptStep{at, run}) }
 	for _, d := range c.world.Destinations {
 		for _, name := range d.Receivers {
-			c.currentList = append(c.currentList, audit.Told{Receiver: name, Standing: "ready"})
+			c.currentList = append(c.currentList, audit.Listing{Receiver: name, Status: "ready"})
 		}
 		site := c.world.siteNode(d.Number)
 		for n, f := range d.Faults {
@@ -315,9 +316,9 @@
 			}
 			listChange := func(names []string, standing string) func() {
 				return func() {
-					var changes []audit.Told
+					var changes []audit.Listing
 					for _, name := range names {
-						changes = append(changes, audit.Told{Receiver: name, Standing: standing})
+						changes = append(changes, audit.Listing{Receiver: name, Status: standing})
 					}
 					c.applyListChange(changes)
 				}
@@ -345,7 +346,7 @@
 		}
 	}
 	for i, f := range c.world.Faults {
-		for _, n := range c.world.Struck[i] {
+		for _, n := range c.world.AffectedSenders[i] {
 			to := int32(n + firstSenderNode)
 			notify := func(k eventKind, value int64) { c.post(to, 0, event{kind: k, value: value}) }
 			restart := func() { // with the receiver list as it is at the restart
@@ -354,7 +355,7 @@
 			}
 			takeDown := func() {
 				c.senderStates[n] = 1
-				c.schedule(c.world.FrontNotice, event{kind: evSenderKnownDown, value: int64(n)})
+				c.schedule(c.world.FailureDetectionDelay, event{kind: evSenderKnownDown, value: int64(n)})
 			}
 			switch f.Kind {
 			case scenario.Kill:
@@ -386,7 +387,7 @@
 		}
 		earned := 0.0
 		if eff.deliveredAt >= 0 {
-			earned = c.world.Worth(eff.Grade, eff.deliveredAt-eff.At)
+			earned = c.world.EarnedCredit(eff.Grade, eff.deliveredAt-eff.At)
 		}
 		tally := c.healthy
 		if c.world.isFailing(eff.Destination) {
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -53,8 +53,8 @@
 
 // listReport is a report of the receiver list, with the entries that the auditor records.
 type listReport struct {
-	list      rules.ListTold
-	receivers []audit.Told
+	list      rules.ListUpdated
+	receivers []audit.Listing
 }
 
 // sender simulates a process that runs a Decider, as internal/loop does with sockets.
@@ -67,12 +67,12 @@
 	startCount uint64 // how often the process has started; events of an earlier start are ignored
 	startedAt  rules.Millis
 
-	alive, paused, shuttingDown, sending bool           // sending: new calls may be sent
-	restartAfterExit                     bool           // start again after the exit
-	initialList                          rules.ListTold // the receiver list at the next start
-	deferredEvents                       []event        // events that arrived while the process was paused
-	events                               []rules.Event  // for the next turn
-	unanswered                           []*heldNotice  // accepted since the last turn, not yet answered
+	alive, paused, shuttingDown, sending bool              // sending: new calls may be sent
+	restartAfterExit                     bool              // start again after the exit
+	initialList                          rules.ListUpdated // the receiver list at the next start
+	deferredEvents                       []event           // events that arrived while the process was paused
+	events                               []rules.Event     // for the next turn
+	unanswered                           []*heldNotice     // accepted since the last turn, not yet answered
 	notices                              map[rules.NoticeID]*heldNotice
 	lastID                               rules.NoticeID
 	turnDue                              bool // a turn is scheduled
@@ -84,8 +84,8 @@
 	connLimit                            int          // maximum number of connections that the descriptors allow
 	usedCapacity                         float64      // sum of capacityOf over the notices; at most 1
 
-	listRecords    []audit.Told
-	lifeRecords    []audit.Life
+	listRecords    []audit.Listing
+	lifeRecords    []audit.SenderEvent
 	breakerChanges []BreakerChange
 	counts         struct{ trips, furtherTrips, localShortages, dismissed, brokenOff, refused, turns int }
 }
@@ -111,7 +111,7 @@
 	s.startCount++
 	settings := s.world.Settings
 	settings.Slots = min(settings.Slots, s.limits.Receivers-s.limits.Receivers/16)
-	settings.Stall = toMillis(s.limits.Stall)
+	settings.MaxPause = toMillis(s.limits.MaxPause)
 	for i := range settings.Kinds {
 		settings.Kinds = slices.Clone(settings.Kinds)
 		settings.Kinds[i].PerCall = 1
@@ -140,31 +140,34 @@
 		h.tripRecorded = false
 		s.usedCapacity += s.capacityOf(h)
 		e := s.acceptedEvent(h)
-		e.Trips, e.Ran = h.trips, len(h.mayHaveRunAt)
+		e.Trips, e.PossibleRuns = h.trips, len(h.mayHaveRunAt)
 		if len(h.mayHaveRunAt) > 0 {
-			e.RanAgo = s.now() - h.mayHaveRunAt[0]
+			e.FirstRunAgo = s.now() - h.mayHaveRunAt[0]
 		}
 		s.events = append(s.events, e)
 	}
-	if !settings.ListOnAsk {
+	if !settings.WatchOnRequest {
 		s.post(outsideNode, s.transitTime(), event{kind: evWatchList})
 	}
-	s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "ready", At: s.now()})
+	s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "ready", At: s.now()})
 	s.scheduleTurn()
 }
 
 // acceptedEvent describes a notice to the decider.
-func (s *sender) acceptedEvent(h *heldNotice) rules.NoticeTaken {
+func (s *sender) acceptedEvent(h *heldNotice) rules.NoticeAccepted {
 	eff := h.submission.effect
-	return rules.NoticeTaken{Notice: h.id, Grade: rules.GradeID(eff.Grade), Portfolio: rules.PortfolioID(eff.Portfolio),
-		Key: rules.KeyID(eff.Key), Destination: rules.DestinationID(eff.Destination), Left: h.deadline - s.now(),
-		Waited: h.waited, Room: s.capacityOf(h)}
+	return rules.NoticeAccepted{Notice: h.id, Grade: rules.GradeID(eff.Grade),
+		Portfolio: rules.PortfolioID(eff.Portfolio),
+		Key:       rules.KeyID(eff.Key), Destination: rules.DestinationID(eff.Destination),
+		TimeLeft: h.deadline - s.now(),
+		Waited:   h.waited, SpaceShare: s.capacityOf(h)}
 }
 
 // capacityOf returns the share of the sender's capacity (memory or disk, whichever is greater) that a notice uses.
 func (s *sender) capacityOf(h *heldNotice) float64 {
 	buffers := (h.submission.effect.Body + s.limits.Buffer - 1) / s.limits.Buffer * s.limits.Buffer
-	return max(float64(buffers)/float64(s.limits.HeldBytes), ledger.Share(s.limits.Disk, h.submission.effect.Body))
+	return max(float64(buffers)/float64(s.limits.HeldBytes), ledger.CapacityShare(s.limits.Disk,
+		h.submission.effect.Body))
 }
 
 // handle processes one event. A paused process defers it; a process that has exited ignores most events.
@@ -175,7 +178,7 @@
 	}
 	switch e.kind {
 	case evRestart:
-		s.initialList = e.payload.(rules.ListTold)
+		s.initialList = e.payload.(rules.ListUpdated)
 		if s.restartAfterExit = s.alive; !s.alive {
 			s.start()
 		}
@@ -239,14 +242,14 @@
 	case evKill:
 		s.kill()
 	case evShutdown:
-		s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "leaving", At: s.now()})
+		s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "leaving", At: s.now()})
 		s.shuttingDown = true
 		s.schedule(toMillis(s.limits.Linger), event{kind: evExitCheck, value: int64(s.startCount)})
 	case evExitCheck:
 		s.checkExit(uint64(e.value))
 	case evPause:
 		s.paused = true
-		s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "frozen", At: s.now()})
+		s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "frozen", At: s.now()})
 	case evDescriptorLimit:
 		if s.connLimit = s.limits.Receivers; e.value >= 0 {
 			s.connLimit = min(s.connLimit, len(s.conns)+int(e.value))
@@ -309,7 +312,7 @@
 	actions := s.decider.Decide(s.now()-s.startedAt, events)
 	var ended map[rules.NoticeID]rules.Action
 	if len(unanswered) > 0 {
-		ended = rules.Ends(actions)
+		ended = rules.FinalAnswers(actions)
 	}
 	for _, h := range unanswered {
 		status, retryAfter := 202, rules.Millis(0)
@@ -395,7 +398,7 @@
 	if len(s.conns) >= s.connLimit && !s.closeOldest() {
 		s.counts.localShortages++
 		h.trips--
-		s.finishTrip(c, rules.TripEnded{Result: rules.Short})
+		s.finishTrip(c, rules.TripEnded{Result: rules.LocalShortage})
 		return
 	}
 	cn := &conn{sender: s.id, receiver: a.Receiver, call: c, lastUsed: s.now(),
@@ -484,12 +487,12 @@
 	case r.malformed:
 		e.Result = rules.Reset
 	case r.status == 429 || r.status == 503:
-		e.Result, e.Wait = rules.Full, r.retryAfter
+		e.Result, e.RequestedWait = rules.Full, r.retryAfter
 	}
-	e.LimitTold, e.LimitLeft, e.LimitRate = r.limitReported, r.limitLeft, r.limitRate
+	e.LimitReported, e.LimitRemaining, e.LimitRate = r.limitReported, r.limitLeft, r.limitRate
 	cn.call, cn.lastUsed = nil, s.now()
 	if r.malformed {
-		e.LimitTold = false
+		e.LimitReported = false
 		s.closeConn(cn)
 	} else {
 		s.idleConns[cn.receiver] = append(s.idleConns[cn.receiver], cn)
@@ -504,15 +507,15 @@
 	heap.Remove(&s.inFlight, c.heapIndex)
 	h := s.notices[c.notice]
 	h.call = nil
-	e.Notice, e.Receiver, e.Spent = c.notice, c.receiver, s.now()-c.startedAt
-	e.Over = e.Over || e.Result == rules.Handled
-	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.Moot ||
-		e.Result == rules.Short || e.Result == rules.Recalled
+	e.Notice, e.Receiver, e.Duration = c.notice, c.receiver, s.now()-c.startedAt
+	e.NoticeEnded = e.NoticeEnded || e.Result == rules.Handled
+	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.NotSent ||
+		e.Result == rules.LocalShortage || e.Result == rules.Recalled
 	if h.tripRecorded && notRun {
 		h.mayHaveRunAt = h.mayHaveRunAt[:len(h.mayHaveRunAt)-1]
 	}
 	h.tripRecorded = false
-	if e.Over {
+	if e.NoticeEnded {
 		h.done = true
 	}
 	if e.Result == rules.Handled && h.outcome == "" && s.mayBeLate(c.notice) {
@@ -533,9 +536,9 @@
 // decider knows.
 func (s *sender) mayBeLate(n rules.NoticeID) bool {
 	checker, implemented := s.decider.(interface {
-		AnswerMayBeLate(rules.NoticeID, rules.Millis) bool
+		ResponseMayBeLate(rules.NoticeID, rules.Millis) bool
 	})
-	return implemented && checker.AnswerMayBeLate(n, s.now()-s.startedAt)
+	return implemented && checker.ResponseMayBeLate(n, s.now()-s.startedAt)
 }
 
 // endNotice sets the final outcome of a notice and reports it.
@@ -559,7 +562,7 @@
 func (s *sender) reportOutcome(h *heldNotice) {
 	s.post(outsideNode, s.transitTime(), event{kind: evOutcome, submission: h.submission, value: int64(h.id),
 		payload: outcomeReport{h.outcome, h.retryAfter}})
-	h.reportBackoff = min(max(2*h.reportBackoff, toMillis(s.limits.BackOff)), toMillis(s.limits.BackOffMost))
+	h.reportBackoff = min(max(2*h.reportBackoff, toMillis(s.limits.BackOff)), toMillis(s.limits.MaxBackOff))
 }
 
 // removeNotice removes a notice and frees its capacity.
@@ -650,7 +653,7 @@
 
 // kill ends the process at once; only what its ledger recorded remains.
 func (s *sender) kill() {
-	s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "killed", At: s.now()})
+	s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "killed", At: s.now()})
 	s.stop()
 }
 
@@ -692,7 +695,7 @@
 		return
 	}
 	s.paused = false
-	s.lifeRecords = append(s.lifeRecords, audit.Life{Sender: s.number, What: "going on", At: s.now()})
+	s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "going on", At: s.now()})
 	deferred := s.deferredEvents
 	s.deferredEvents = nil
 	for i := range deferred {
--- a/internal/model/site.go
+++ b/internal/model/site.go
@@ -39,7 +39,7 @@
 	written    bool
 	inFlight   bool
 
-	fate   gateway.Fate
+	fate   gateway.CallOutcome
 	record audit.Call
 	done   bool
 }
@@ -61,7 +61,7 @@
 	byID          map[rules.ReceiverID]*receiver
 	openConns     int
 	recordedCalls []*call // kept only if the run is recorded
-	overloads     []audit.Fall
+	overloads     []audit.Overload
 
 	counts struct{ calls, fullResponses, furtherCalls, secondEffects int }
 }
@@ -89,7 +89,7 @@
 
 // newSite creates a site with the receivers that its destination has at the start.
 func newSite(w *world, p port, d *scenario.Destination) *site {
-	s := &site{port: p, world: w, gateway: gateway.NewSite(w.World, d), byID: map[rules.ReceiverID]*receiver{}}
+	s := &site{port: p, world: w, gateway: gateway.NewSite(w.Instance, d), byID: map[rules.ReceiverID]*receiver{}}
 	for _, name := range d.Receivers {
 		s.addReceiver(w.receiver(name))
 	}
@@ -117,7 +117,7 @@
 	case evConnClosed:
 		s.connClosed(e.conn)
 	case evFaultChange:
-		s.gateway.StepOutage(s.now())
+		s.gateway.UpdateOutage(s.now())
 		s.applyFaults(s.now())
 		s.scheduleFaultChange(s.now())
 	case evReceiverAdded:
@@ -204,7 +204,7 @@
 	case p != nil && p.unresponsive:
 		// No response: the sender's connect timeout ends the attempt.
 	case p == nil || p.removed || p.refusing,
-		s.gateway.Group.Shape.Connections > 0 && s.openConns >= s.gateway.Group.Shape.Connections:
+		s.gateway.Group.Profile.Connections > 0 && s.openConns >= s.gateway.Group.Profile.Connections:
 		s.postToSender(c.sender, event{kind: evConnectRefused, conn: c})
 	default:
 		c.open, c.receiverIndex = true, len(p.conns)
@@ -229,29 +229,29 @@
 	}
 	sub := c.submission
 	c.record = audit.Call{ID: sub.id, Receiver: s.byID[c.receiver].name, Mark: sub.effect.idempotencyKey,
-		Dest: s.gateway.Number, Apart: s.world.apart[s.gateway.Number],
+		Dest: s.gateway.Number, SeparateRoutes: s.world.apart[s.gateway.Number],
 		First: now, Last: now}
 	if _, silent := s.gateway.Active(scenario.Silent, now); silent {
 		s.deferToFaultChange(c) // the call is not read until the fault ends; then the connection is reset
-		c.fate = gateway.Fate{Reset: true, Unseen: true}
+		c.fate = gateway.CallOutcome{Reset: true, LostUnread: true}
 		c.conn.serving = c
 		return
 	}
-	if _, struck := s.gateway.Strike(scenario.ResetBefore, -1, now); struck {
+	if _, struck := s.gateway.DrawFault(scenario.ResetBefore, -1, now); struck {
 		c.record.ID, c.record.Unread, c.record.Fault = "", true, scenario.ResetBefore
 		s.recordCall(c)
 		s.resetConn(c.conn)
 		return
 	}
 	c.fate = s.gateway.Decide(now, int(c.conn.sender)-firstSenderNode, sub.effect.Grade)
-	if c.fate.Fell {
-		s.overloads = append(s.overloads, audit.Fall{Dest: s.gateway.Number, At: now,
-			By: s.gateway.Core.Pushed(), Seen: s.gateway.SeenBy()})
+	if c.fate.CausedOverload {
+		s.overloads = append(s.overloads, audit.Overload{Dest: s.gateway.Number, At: now,
+			By: s.gateway.Core.CallsBySender(), SawOutage: s.gateway.SendersThatSawOutage()})
 	}
-	c.record.Ran, c.record.Fault, c.record.Unread = c.fate.Ran, c.fate.Fault, c.fate.Unseen
+	c.record.Ran, c.record.Fault, c.record.Unread = c.fate.TookEffect, c.fate.Fault, c.fate.LostUnread
 	c.conn.serving = c
 	s.recordCall(c)
-	if !c.fate.Never {
+	if !c.fate.NoResponse {
 		s.schedule(max(c.fate.At-now, 0), event{kind: evResponseDue, call: c})
 	}
 }
@@ -299,15 +299,15 @@
 	now := s.now()
 	if _, on := s.gateway.Active(scenario.Silent, now); on {
 		s.deferToFaultChange(c)
-		c.fate.Reset, c.fate.Status, c.fate.Spoilt = true, 0, false
+		c.fate.Reset, c.fate.Status, c.fate.Malformed = true, 0, false
 		return
 	}
 	if _, on := s.gateway.Active(scenario.Pauses, now); on {
 		s.deferToFaultChange(c)
 		return
 	}
-	if c.fate.Slow {
-		c.fate.Slow = false
+	if c.fate.Dribbled {
+		c.fate.Dribbled = false
 		s.schedule(dribbleTime, event{kind: evResponseDue, call: c})
 		return
 	}
@@ -316,12 +316,12 @@
 		return
 	}
 	c.done = true
-	if c.conn.serving == c && !c.fate.Spoilt {
+	if c.conn.serving == c && !c.fate.Malformed {
 		c.conn.serving = nil
 	}
 	f := c.fate
-	c.record.Replied, c.record.Status, c.record.Wait, c.record.Spoilt = now, f.Status, f.Wait, f.Spoilt
-	if !f.Spoilt && (f.Status == 429 || f.Status == 503) {
+	c.record.Replied, c.record.Status, c.record.RequestedWait, c.record.Malformed = now, f.Status, f.Wait, f.Malformed
+	if !f.Malformed && (f.Status == 429 || f.Status == 503) {
 		s.counts.fullResponses++
 	}
 	if f.Status == 200 {
@@ -331,6 +331,6 @@
 		}
 	}
 	s.postToSender(c.conn.sender, event{kind: evResponse, call: c, payload: response{status: f.Status,
-		retryAfter: f.Wait, malformed: f.Spoilt, limitReported: f.Told,
-		limitLeft: f.Left, limitRate: f.LimitIs}})
+		retryAfter: f.Wait, malformed: f.Malformed, limitReported: f.LimitReported,
+		limitLeft: f.LimitRemaining, limitRate: f.Limit}})
 }
--- a/internal/results/results.go
+++ b/internal/results/results.go
@@ -17,8 +17,8 @@
 	Max   float64 `json:"max"`
 }
 
-// Spread converts a histogram of microseconds into Times.
-func Spread(h *hdrhistogram.Histogram) Times {
+// Summarize converts a histogram of microseconds into Times.
+func Summarize(h *hdrhistogram.Histogram) Times {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Times{h.TotalCount(), at(50), at(99), at(99.9), float64(h.Max()) / 1000}
 }
@@ -36,12 +36,12 @@
 type Tally struct {
 	share                     Share
 	creditAsked, creditEarned float64
-	Spread                    *hdrhistogram.Histogram // delivery times, in microseconds
+	Deliveries                *hdrhistogram.Histogram // delivery times, in microseconds
 }
 
 // NewTally creates an empty tally.
 func NewTally(name string) *Tally {
-	return &Tally{share: Share{Name: name}, Spread: hdrhistogram.New(1, 3_600_000_000, 3)}
+	return &Tally{share: Share{Name: name}, Deliveries: hdrhistogram.New(1, 3_600_000_000, 3)}
 }
 
 // Add counts a notice: the credit that it was worth, the credit that it earned, and the delivery time if it was
@@ -52,7 +52,7 @@
 	t.creditEarned += earned
 	if delivered {
 		t.share.Delivered++
-		t.Spread.RecordValue(max(int64(after*1000), 1))
+		t.Deliveries.RecordValue(max(int64(after*1000), 1))
 	}
 }
 
@@ -62,6 +62,6 @@
 	if t.creditAsked > 0 {
 		s.Credit = t.creditEarned / t.creditAsked
 	}
-	s.Delivery = Spread(t.Spread)
+	s.Delivery = Summarize(t.Deliveries)
 	return s
 }
--- a/internal/scenario/mix.go
+++ b/internal/scenario/mix.go
@@ -13,7 +13,7 @@
 // destinations, one or two that affect senders, and at most one each that affects the platform and the clients. Each
 // fault has its own random start and duration.
 func Mix(s *Scenario) {
-	rng := Chance(s.Seed, streamMixedFaults)
+	rng := NewRand(s.Seed, streamMixedFaults)
 	kinds := map[FaultTarget][]string{}
 	for _, name := range faultKindNames() {
 		kinds[faultKinds[name]] = append(kinds[faultKinds[name]], name)
@@ -23,7 +23,7 @@
 		for range count {
 			fault := Fault{Kind: kinds[target][rng.IntN(len(kinds[target]))], Share: 1, Size: 1,
 				Part: 0.1 + 0.4*rng.Float64(), At: s.Length * rules.Millis(0.05+0.65*rng.Float64()),
-				Each: 200 + rules.Millis(600*rng.Float64())}
+				Period: 200 + rules.Millis(600*rng.Float64())}
 			fault.For = (s.Length - fault.At) * rules.Millis(0.15+0.7*rng.Float64())
 			if target == Destinations && rng.Float64() < 0.4 {
 				fault.Share = 0.2 + 0.8*rng.Float64()
@@ -49,7 +49,7 @@
 			case Kill, Stop, Freeze, Reload, FewFiles: // not two at a time: a sender that is down can't be affected
 				if fault.For = min(fault.For, s.Length/8); target == Senders && len(s.Faults) > 0 {
 					last := s.Faults[len(s.Faults)-1]
-					if last.Strikes() == Senders && fault.At < last.Until()+4500 {
+					if last.Target() == Senders && fault.At < last.Until()+4500 {
 						continue
 					}
 				}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -29,7 +29,7 @@
 	ResetBefore = "reset-before" // the connection is reset before the call is read
 	ResetAfter  = "reset-after"  // the connection is reset after the call is read
 	Errors      = "errors"       // calls fail immediately with status 500
-	Spoilt      = "spoilt"       // responses are malformed
+	Malformed   = "spoilt"       // responses are malformed
 	Slow        = "slow"         // calls take longer
 	Dribble     = "dribble"      // responses are sent at one byte a second
 	Pauses      = "pauses"       // periodically, nothing is read or sent for half of each period
@@ -72,25 +72,26 @@
 
 // Scenario is one test scenario as read from its file. Shares are relative to the sum of all shares.
 type Scenario struct {
-	Name, About     string
-	Seed            uint64
-	Length, Settle  rules.Millis // duration of the traffic; longest wait for final outcomes after it
-	Machine         limits.Machine
-	Settings        rules.Settings
-	Names           settings.Names
-	GradeShares     []float64
-	PortfolioShares []float64
-	Traffic         Traffic
-	ListDelay       rules.Millis // delay until a change appears in the receiver list
-	Senders         int
-	FrontNotice     rules.Millis // how long clients keep choosing a sender that has died
-	Groups          []Group
-	Faults          []Fault
-	Trace           []Arrival // recorded traffic that replaces the generated traffic
+	Name, About           string
+	Seed                  uint64
+	Length, Settle        rules.Millis // duration of the traffic; longest wait for final outcomes after it
+	Machine               limits.Machine
+	Settings              rules.Settings
+	Names                 settings.Names
+	GradeShares           []float64
+	PortfolioShares       []float64
+	Traffic               Traffic
+	ListDelay             rules.Millis // delay until a change appears in the receiver list
+	Senders               int
+	FailureDetectionDelay rules.Millis // how long clients keep choosing a sender that has died
+	Groups                []Group
+	Faults                []Fault
+	Trace                 []Arrival // recorded traffic that replaces the generated traffic
 }
 
-// Traffic describes the notices that clients submit. Clumps are batches of notices for one destination; Again is the
-// share of the dismissed notices that are submitted again, and Patience the client's timeout for the first response.
+// Traffic describes the notices that clients submit. Clumps are batches of notices for one destination; ResubmitShare
+// is the share of the dismissed notices that are submitted again, and AnswerTimeout the client's timeout for the first
+// response.
 type Traffic struct {
 	Rate          float64 // notices a second
 	Shape         string
@@ -100,8 +101,8 @@
 	ClumpDuration rules.Millis
 	BodySize      int // bytes
 	KeyCount      int // distinct affinity keys; 0: notices have no key
-	Again         float64
-	Patience      rules.Millis
+	ResubmitShare float64
+	AnswerTimeout rules.Millis
 	First         FirstNotices
 }
 
@@ -118,7 +119,7 @@
 	Destinations, Receivers int
 	Kind                    string
 	Weight                  float64 // share of the traffic, relative to other destinations
-	Shape                   DestinationProfile
+	Profile                 DestinationProfile
 }
 
 // DestinationProfile describes the capacity and the behaviour of a destination.
@@ -147,11 +148,11 @@
 	Busiest     bool         // affects the destinations with the most traffic instead of random ones
 	Grade       string       // empty: all grades
 	Share, Size float64      // affected share of the calls; strength, whose meaning depends on the kind
-	Each        rules.Millis // period of a periodic fault
+	Period      rules.Millis // period of a periodic fault
 }
 
-// Strikes returns the target of the fault.
-func (f Fault) Strikes() FaultTarget { return faultKinds[f.Kind] }
+// Target returns the target of the fault.
+func (f Fault) Target() FaultTarget { return faultKinds[f.Kind] }
 
 // Until returns the time at which the fault ends.
 func (f Fault) Until() rules.Millis { return f.At + f.For }
@@ -169,7 +170,7 @@
 
 // halfPeriods returns how many half periods are over. The added 1e-6 makes sure that a time which was computed from a
 // number of half periods yields that same number in spite of rounding.
-func (f Fault) halfPeriods(at rules.Millis) int64 { return int64((at-f.At)/(f.Each/2) + 1e-6) }
+func (f Fault) halfPeriods(at rules.Millis) int64 { return int64((at-f.At)/(f.Period/2) + 1e-6) }
 
 // Next returns the first time after at when the fault starts or stops acting, or -1 if there is none.
 func (f Fault) Next(at rules.Millis) rules.Millis {
@@ -181,7 +182,7 @@
 	case f.Kind != Flap && f.Kind != Pauses:
 		return f.Until()
 	}
-	return min(f.At+rules.Millis(f.halfPeriods(at)+1)*f.Each/2, f.Until())
+	return min(f.At+rules.Millis(f.halfPeriods(at)+1)*f.Period/2, f.Until())
 }
 
 //go:embed builtin/*.toml
@@ -194,7 +195,7 @@
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
 	}
-	return append(append(names, SickSet()...), ValidationSet()...)
+	return append(append(names, FailingSet()...), ValidationSet()...)
 }
 
 // Text returns the text of a scenario: of a built-in one by its name, of any other by the path of its file.
@@ -219,13 +220,13 @@
 		return nil, err
 	}
 	s, faults := Read(name, text)
-	return s, faults.Or()
+	return s, faults.ErrorOrNil()
 }
 
 // Read parses the text of a scenario and returns all that is wrong with it; name stands in the messages.
 func Read(name string, text []byte) (*Scenario, conf.Faults) {
 	file, _ := conf.Read(name, text, Table)
-	top, machine, traffic := file.One(""), file.One("machine"), file.One("traffic")
+	top, machine, traffic := file.Section(""), file.Section("machine"), file.Section("traffic")
 	duration := func(block *conf.Block, key string) rules.Millis { return rules.Millis(block.Number(key)) }
 	s := &Scenario{Name: top.Text("name"), About: top.Text("about"), Seed: uint64(top.Number("seed")),
 		Length: duration(top, "length"), Settle: duration(top, "settle"),
@@ -234,24 +235,25 @@
 		Traffic: Traffic{Rate: traffic.Number("rate"), Shape: traffic.Text("shape"), Zipf: traffic.Number("zipf"),
 			ClumpShare: traffic.Number("clumps"), ClumpSize: traffic.Int("clump"),
 			ClumpDuration: duration(traffic, "clump_span"), BodySize: traffic.Int("body"),
-			KeyCount: traffic.Int("keys"), Again: traffic.Number("again"), Patience: duration(traffic, "patience"),
+			KeyCount: traffic.Int("keys"), ResubmitShare: traffic.Number("again"),
+			AnswerTimeout: duration(traffic, "patience"),
 			First: FirstNotices{Count: traffic.Int("first"), Group: traffic.Text("first_group"),
 				Grade: traffic.Text("first_grade"), Duration: duration(traffic, "first_span")}},
-		ListDelay: duration(file.One("platform"), "delay"), Senders: file.One("senders").Int("count"),
-		FrontNotice: duration(file.One("senders"), "notice")}
+		ListDelay: duration(file.Section("platform"), "delay"), Senders: file.Section("senders").Int("count"),
+		FailureDetectionDelay: duration(file.Section("senders"), "notice")}
 	s.Settings, s.Names = config.Read(file)
 	s.Settings.Senders = s.Senders
-	for _, block := range file.All("grade") {
+	for _, block := range file.Sections("grade") {
 		s.GradeShares = append(s.GradeShares, block.Number("share"))
 	}
-	for _, block := range file.All("portfolio") {
+	for _, block := range file.Sections("portfolio") {
 		s.PortfolioShares = append(s.PortfolioShares, block.Number("share"))
 	}
 	groups := map[string]bool{}
-	for _, block := range file.All("gateway") {
+	for _, block := range file.Sections("gateway") {
 		group := Group{Name: block.Text("name"), Destinations: block.Int("destinations"),
 			Receivers: block.Int("receivers"), Kind: block.Text("kind"), Weight: block.Number("weight"),
-			Shape: DestinationProfile{Cores: block.Int("cores"), Queue: block.Int("queue"),
+			Profile: DestinationProfile{Cores: block.Int("cores"), Queue: block.Int("queue"),
 				Service: block.Text("service"), Mean: duration(block, "mean"), CV: block.Number("cv"),
 				Limit: block.Number("limit"), LimitWindow: duration(block, "limit_span"),
 				LimitDepth: duration(block, "limit_depth"), CountsRefused: block.Flag("counts_refused"),
@@ -259,51 +261,52 @@
 				RetryAfter: duration(block, "wait"), Connections: block.Int("connections"),
 				OverloadsWhenCold: block.Flag("tips")}}
 		if groups[group.Name] {
-			file.Wrong(block, "name", fmt.Sprintf("%q stands twice", group.Name), "a name of its own")
+			file.AddFault(block, "name", fmt.Sprintf("%q stands twice", group.Name), "a name of its own")
 		}
 		if group.Kind != "" && !slices.Contains(s.Names.Kinds, group.Kind) {
-			file.Wrong(block, "kind", fmt.Sprintf("no [[kind]] has the name %q", group.Kind), "the name of a [[kind]]")
+			file.AddFault(block, "kind", fmt.Sprintf("no [[kind]] has the name %q", group.Kind),
+				"the name of a [[kind]]")
 		}
-		if group.Shape.LimitWindow > 0 && group.Shape.Limit == 0 {
-			file.Wrong(block, "limit_span", "the gateway has no limit", "a limit, or no limit_span")
+		if group.Profile.LimitWindow > 0 && group.Profile.Limit == 0 {
+			file.AddFault(block, "limit_span", "the gateway has no limit", "a limit, or no limit_span")
 		}
 		groups[group.Name] = true
 		s.Groups = append(s.Groups, group)
 	}
 	if first := s.Traffic.First; first.Count > 0 {
 		if !groups[first.Group] {
-			file.Wrong(traffic, "first_group", fmt.Sprintf("no [[gateway]] has the name %q", first.Group),
+			file.AddFault(traffic, "first_group", fmt.Sprintf("no [[gateway]] has the name %q", first.Group),
 				"the name of a [[gateway]]")
 		}
 		if !slices.Contains(s.Names.Grades, first.Grade) {
-			file.Wrong(traffic, "first_grade", fmt.Sprintf("no [[grade]] has the name %q", first.Grade),
+			file.AddFault(traffic, "first_grade", fmt.Sprintf("no [[grade]] has the name %q", first.Grade),
 				"one of "+strings.Join(s.Names.Grades, ", "))
 		}
 	}
 	if path := traffic.Text("trace"); path != "" {
 		if err := s.readTrace(name, path); err != nil {
-			file.Wrong(traffic, "trace", err.Error(), "a file written by lab trace")
+			file.AddFault(traffic, "trace", err.Error(), "a file written by lab trace")
 		}
 	}
-	for _, block := range file.All("fault") {
+	for _, block := range file.Sections("fault") {
 		fault := Fault{Kind: block.Text("kind"), At: duration(block, "at"), For: duration(block, "for"),
 			Part: block.Number("part"), Group: block.Text("group"), Busiest: block.Flag("busiest"),
 			Grade: block.Text("grade"), Share: block.Number("share"), Size: block.Number("size"),
-			Each: duration(block, "each")}
+			Period: duration(block, "each")}
 		if fault.Group != "" && !groups[fault.Group] {
-			file.Wrong(block, "group", fmt.Sprintf("no [[gateway]] has the name %q", fault.Group),
+			file.AddFault(block, "group", fmt.Sprintf("no [[gateway]] has the name %q", fault.Group),
 				"the name of a [[gateway]]")
 		}
 		if fault.Grade != "" && !slices.Contains(s.Names.Grades, fault.Grade) {
-			file.Wrong(block, "grade", fmt.Sprintf("no [[grade]] has the name %q", fault.Grade),
+			file.AddFault(block, "grade", fmt.Sprintf("no [[grade]] has the name %q", fault.Grade),
 				"one of "+strings.Join(s.Names.Grades, ", "))
 		}
-		if fault.Strikes() != Destinations && (fault.Group != "" || fault.Grade != "") {
-			file.Wrong(block, "kind", fault.Kind+" does not affect destinations", "no group and no grade")
+		if fault.Target() != Destinations && (fault.Group != "" || fault.Grade != "") {
+			file.AddFault(block, "kind", fault.Kind+" does not affect destinations", "no group and no grade")
 		}
 		if fault.At >= s.Length {
-			file.Wrong(block, "at", "is not before the end of the traffic",
-				"before "+conf.Show(conf.Span, float64(s.Length)))
+			file.AddFault(block, "at", "is not before the end of the traffic",
+				"before "+conf.FormatNumber(conf.Span, float64(s.Length)))
 		}
 		s.Faults = append(s.Faults, fault)
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -73,12 +73,12 @@
 			t.Fatal(faults)
 		}
 		s.Seed = seed
-		w := Lay(s)
+		w := NewInstance(s)
 		var b strings.Builder
 		for _, d := range w.Destinations {
 			fmt.Fprintf(&b, "%d %.3f %v %d\n", d.Number, d.Weight, d.Receivers, len(d.Faults))
 		}
-		fmt.Fprintln(&b, w.Struck[2])
+		fmt.Fprintln(&b, w.AffectedSenders[2])
 		arrivals := w.Arrivals()
 		for {
 			a, ok := arrivals.Next()
@@ -101,7 +101,7 @@
 	for _, shape := range []string{"steady", "ramp", "peak"} {
 		s, _ := Read("small", []byte(smallScenario))
 		s.Traffic.Shape = shape
-		w := Lay(s)
+		w := NewInstance(s)
 		count, grades, thirds, last := 0, [2]int{}, [3]int{}, rules.Millis(0)
 		destinations := map[int]int{}
 		for arrivals := w.Arrivals(); ; count++ {
@@ -129,7 +129,7 @@
 
 // A periodic fault acts in the first half of each period.
 func TestFaultTimes(t *testing.T) {
-	f := Fault{Kind: Flap, At: 1000, For: 2500, Each: 1000}
+	f := Fault{Kind: Flap, At: 1000, For: 2500, Period: 1000}
 	var b strings.Builder
 	for at := rules.Millis(0); at >= 0; at = f.Next(at) {
 		fmt.Fprintf(&b, "%v %v\n", at, f.Active(at))
@@ -143,10 +143,10 @@
 // Next always returns a later time, whatever the fault's times and period are. If it returned the same time, rounding
 // would make a script loop forever.
 func TestFaultTimesAdvance(t *testing.T) {
-	rng := Chance(1, 1)
+	rng := NewRand(1, 1)
 	for range 10_000 {
 		f := Fault{Kind: Pauses, At: rules.Millis(5000 * rng.Float64()), For: rules.Millis(4000 * rng.Float64()),
-			Each: 200 + rules.Millis(600*rng.Float64())}
+			Period: 200 + rules.Millis(600*rng.Float64())}
 		active := false
 		for at := f.At; at >= 0; {
 			next := f.Next(at)
@@ -189,7 +189,7 @@
 	if !found {
 		t.Fatal("docs/scenarios.md has no place for the table")
 	}
-	want := head + mark + "\n" + Table.Page()
+	want := head + mark + "\n" + Table.Markdown()
 	if os.Getenv("UPDATE") != "" {
 		if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
@@ -220,7 +220,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	arrivals := Lay(s).Arrivals()
+	arrivals := NewInstance(s).Arrivals()
 	var got []Arrival
 	for a, ok := arrivals.Next(); ok; a, ok = arrivals.Next() {
 		got = append(got, a)
--- a/internal/scenario/sick.go
+++ b/internal/scenario/sick.go
@@ -104,7 +104,7 @@
 	{"aside-pauses", "a third of the destinations pause for half of each second",
 		destinationFault(Pauses, "0.34", "each = \"1s\"\n")},
 	{"aside-spoilt-slow", "a third of the destinations send malformed responses, others slow down",
-		destinationFault(Spoilt, "0.34", "share = 0.5\n") + destinationFault(Slow, "0.3", "size = 20\n")},
+		destinationFault(Malformed, "0.34", "share = 0.5\n") + destinationFault(Slow, "0.3", "size = 20\n")},
 	{"aside-leave-refuse", "half of the senders shut down while destinations refuse connections",
 		destinationFault(Refuse, "0.3", "") + `
 [[fault]]
@@ -123,8 +123,8 @@
 	return names
 }
 
-// SickSet returns the names of the scenarios in which some destinations fail, in the order of reports.
-func SickSet() []string { return setNames(failingSet) }
+// FailingSet returns the names of the scenarios in which some destinations fail, in the order of reports.
+func FailingSet() []string { return setNames(failingSet) }
 
 // ValidationSet returns the names of the scenarios on which the model is compared with socket runs.
 func ValidationSet() []string { return setNames(validationSet) }
@@ -143,8 +143,8 @@
 	return "", false
 }
 
-// Well returns a copy of the scenario without its faults.
-func (s *Scenario) Well() *Scenario {
+// WithoutFaults returns a copy of the scenario without its faults.
+func (s *Scenario) WithoutFaults() *Scenario {
 	faultless := *s
 	faultless.Faults = nil
 	return &faultless
--- a/internal/scenario/table.go
+++ b/internal/scenario/table.go
@@ -8,7 +8,8 @@
 // faultKinds maps each kind of fault to its target.
 var faultKinds = map[string]FaultTarget{
 	Refuse: Destinations, Shut: Destinations, Hang: Destinations, Silent: Destinations, NeverUp: Destinations,
-	ResetBefore: Destinations, ResetAfter: Destinations, Errors: Destinations, Spoilt: Destinations, Slow: Destinations,
+	ResetBefore: Destinations, ResetAfter: Destinations, Errors: Destinations, Malformed: Destinations,
+	Slow:    Destinations,
 	Dribble: Destinations, Pauses: Destinations, LowLimit: Destinations, Flap: Destinations,
 	Drain: Destinations, Vanish: Destinations,
 	ListSilent: Platforms, ListGarbage: Platforms, EndsRefused: Platforms,
@@ -75,7 +76,7 @@
 		{Name: "notice", Kind: conf.Span, Default: `"1s"`, Max: 600_000,
 			Doc: "how long clients keep choosing a sender that has died"},
 	}},
-	{Name: "gateway", Many: true, Least: 1, Doc: "A group of destinations with the same properties.", Keys: []conf.Key{
+	{Name: "gateway", Repeated: true, MinCount: 1, Doc: "A group of destinations with the same properties.", Keys: []conf.Key{
 		{Name: "name", Kind: conf.Text, Required: true, Doc: "name of the group, to which faults refer"},
 		{Name: "destinations", Kind: conf.Count, Default: "1", Min: 1, Max: 1_000_000,
 			Doc: "number of destinations in the group"},
@@ -112,7 +113,7 @@
 		{Name: "tips", Kind: conf.Flag, Default: "false",
 			Doc: "whether the destination is cold after an outage and can be overloaded then, as `[return]` describes"},
 	}},
-	{Name: "fault", Many: true, Doc: "A fault, scripted at an exact time.", Keys: []conf.Key{
+	{Name: "fault", Repeated: true, Doc: "A fault, scripted at an exact time.", Keys: []conf.Key{
 		{Name: "kind", Kind: conf.Choice, Required: true, Choices: faultKindNames(), Doc: "what happens; see below"},
 		{Name: "at", Kind: conf.Span, Required: true, Max: 86_400_000,
 			Doc: "when the fault starts, counted from the start of the traffic"},
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -21,11 +21,11 @@
 	Faults    []Fault
 }
 
-// World is the instance of a scenario: everything that the scenario and its seed determine.
-type World struct {
+// Instance is everything that a scenario and its seed determine.
+type Instance struct {
 	*Scenario
 	Destinations         []*Destination
-	Struck               map[int][]int // affected senders of each sender fault, by the fault's index in Faults
+	AffectedSenders      map[int][]int // affected senders of each sender fault, by the fault's index in Faults
 	cumulativeWeights    []float64     // of the destinations
 	cumulativeGrades     []float64
 	cumulativePortfolios []float64
@@ -40,12 +40,12 @@
 	StreamGateways = 1 << 20
 )
 
-// Chance returns a random generator for one stream of a seed.
-func Chance(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
+// NewRand returns a random generator for one stream of a seed.
+func NewRand(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// Lay creates the instance of a scenario.
-func Lay(s *Scenario) *World {
-	w, rng := &World{Scenario: s, Struck: map[int][]int{}}, Chance(s.Seed, streamLayout)
+// NewInstance creates the instance of a scenario.
+func NewInstance(s *Scenario) *Instance {
+	w, rng := &Instance{Scenario: s, AffectedSenders: map[int][]int{}}, NewRand(s.Seed, streamLayout)
 	for i := range s.Groups {
 		g := &s.Groups[i]
 		for range g.Destinations {
@@ -61,7 +61,7 @@
 		d.Weight = d.Group.Weight / math.Pow(float64(ranks[i]+1), s.Traffic.Zipf)
 	}
 	for i, f := range s.Faults {
-		switch f.Strikes() {
+		switch f.Target() {
 		case Destinations:
 			var eligible []*Destination
 			for _, d := range w.Destinations {
@@ -77,7 +77,7 @@
 				d.Faults = append(d.Faults, f)
 			}
 		case Senders:
-			w.Struck[i] = rng.Perm(s.Senders)[:shareOf(f.Part, s.Senders)]
+			w.AffectedSenders[i] = rng.Perm(s.Senders)[:shareOf(f.Part, s.Senders)]
 		}
 	}
 	sum := 0.0
@@ -123,7 +123,7 @@
 
 // Arrivals generates the notices of an instance in the order of their times.
 type Arrivals struct {
-	instance      *World
+	instance      *Instance
 	rng           *rand.Rand
 	clumpRNG      *rand.Rand
 	nextSingle    rules.Millis // time of the next notice that is not part of a clump
@@ -142,8 +142,8 @@
 func (p *arrivalHeap) Pop() any          { a := (*p)[len(*p)-1]; *p = (*p)[:len(*p)-1]; return a }
 
 // Arrivals returns a generator of the instance's notices, from the first one on.
-func (w *World) Arrivals() *Arrivals {
-	a := &Arrivals{instance: w, rng: Chance(w.Seed, streamArrivals), clumpRNG: Chance(w.Seed, streamClumps),
+func (w *Instance) Arrivals() *Arrivals {
+	a := &Arrivals{instance: w, rng: NewRand(w.Seed, streamArrivals), clumpRNG: NewRand(w.Seed, streamClumps),
 		nextClump: rules.Millis(math.Inf(1))}
 	a.nextSingle = a.nextPoissonTime(0, a.rng, w.Traffic.Rate*(1-w.Traffic.ClumpShare))
 	a.queueFirstNotices()
@@ -170,7 +170,7 @@
 }
 
 // rateFactor returns the rate at a time, relative to the mean rate.
-func (w *World) rateFactor(at rules.Millis) float64 {
+func (w *Instance) rateFactor(at rules.Millis) float64 {
 	progress, factor := float64(at/w.Length), 1.0
 	switch w.Traffic.Shape {
 	case "ramp":
@@ -187,7 +187,7 @@
 }
 
 // maxRateFactor returns an upper bound of rateFactor.
-func (w *World) maxRateFactor() float64 {
+func (w *Instance) maxRateFactor() float64 {
 	maximum := 2.0
 	for _, fault := range w.Faults {
 		if fault.Kind == Burst {
@@ -257,15 +257,15 @@
 	return arrival
 }
 
-// Worth returns the credit that a notice of a grade earns if it is handled the given time after its submission.
-func (s *Scenario) Worth(grade int, after rules.Millis) float64 {
+// EarnedCredit returns the credit that a notice of a grade earns if it is handled the given time after its submission.
+func (s *Scenario) EarnedCredit(grade int, after rules.Millis) float64 {
 	g := s.Settings.Grades[grade]
 	switch lateness := float64((after - g.QuotedTime) / max(g.ClientTimeout-g.QuotedTime, 1e-9)); {
 	case after >= g.ClientTimeout:
 		return 0
 	case after <= g.QuotedTime:
 		return g.Credit
-	case s.Settings.HalvesLate:
+	case s.Settings.LateCreditHalves:
 		return g.Credit * max(g.LateShare, math.Exp2(-float64((after-g.QuotedTime)/g.QuotedTime)))
 	default:
 		return g.Credit * (1 - (1-g.LateShare)*lateness)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -120,28 +120,28 @@
 	names := Names{Kinds: opts.Kinds, Zones: opts.Zones, Report: opts.Reporting.Fields,
 		ConnectTime: opts.Limits.ConnectTime.millis()}
 	decoded := rules.Settings{
-		ZoneFees:    opts.FamilyInfo.FeeByZone,
-		Senders:     opts.GroupSize,
-		Slots:       opts.FamilyInfo.Slots,
-		HoldLimit:   opts.Limits.OpenCap,
-		TripLimit:   opts.Limits.SendCap,
-		CallOff:     opts.Limits.Cancel,
-		Tick:        opts.Tick.millis(),
-		OverShare:   opts.OverShareWorth,
-		WholeGoal:   opts.Goal.Whole,
-		WorstGoal:   opts.Goal.WorstClass,
-		HalvesLate:  opts.FamilyInfo.LosesWorth == "by_half",
-		RetryAfter:  opts.Limits.RetryAfter,
-		RetryMost:   opts.Limits.MaxRetryAfter.millis(),
-		ListOnAsk:   opts.Discovery == "subscribe",
-		AskWithin:   opts.Obligations.MustAskIn.millis(),
-		ListedError: -1,
-		ColdFrom:    opts.Obligations.ColdFrom,
-		WarmWithin:  opts.Obligations.WarmWithin.millis(),
-		TipMultiple: opts.Obligations.TipMultiple,
-		Fall:        opts.Obligations.Fall.millis(),
-		KeyRest:     opts.Obligations.KeyRest.millis(),
-		IdleKept:    opts.Limits.ConnIdle.millis(),
+		ZoneFees:          opts.FamilyInfo.FeeByZone,
+		Senders:           opts.GroupSize,
+		Slots:             opts.FamilyInfo.Slots,
+		HoldLimit:         opts.Limits.OpenCap,
+		TripLimit:         opts.Limits.SendCap,
+		CancelTrips:       opts.Limits.Cancel,
+		Tick:              opts.Tick.millis(),
+		OverQuotaWeight:   opts.OverShareWorth,
+		TotalCreditWeight: opts.Goal.Whole,
+		WorstGradeWeight:  opts.Goal.WorstClass,
+		LateCreditHalves:  opts.FamilyInfo.LosesWorth == "by_half",
+		RetryAfter:        opts.Limits.RetryAfter,
+		MaxRetryAfter:     opts.Limits.MaxRetryAfter.millis(),
+		WatchOnRequest:    opts.Discovery == "subscribe",
+		RewatchWithin:     opts.Obligations.MustAskIn.millis(),
+		ListedError:       -1,
+		ColdCapacity:      opts.Obligations.ColdFrom,
+		WarmUpTime:        opts.Obligations.WarmWithin.millis(),
+		OverloadFactor:    opts.Obligations.TipMultiple,
+		OverloadTime:      opts.Obligations.Fall.millis(),
+		KeyCooldown:       opts.Obligations.KeyRest.millis(),
+		IdleTimeout:       opts.Limits.ConnIdle.millis(),
 	}
 	if rateError, listed := listedRateErrors[opts.WeightSource]; listed {
 		decoded.ListedError = rateError
@@ -164,7 +164,7 @@
 		if i < len(opts.FamilyInfo.PerCall) {
 			kind.PerCall = opts.FamilyInfo.PerCall[i]
 		}
-		kind.Apart = i < len(opts.FamilyInfo.SeparateRoutes) && opts.FamilyInfo.SeparateRoutes[i]
+		kind.SeparateRoutes = i < len(opts.FamilyInfo.SeparateRoutes) && opts.FamilyInfo.SeparateRoutes[i]
 		decoded.Kinds = append(decoded.Kinds, kind)
 	}
 	for _, r := range opts.Realms {
@@ -242,16 +242,16 @@
 	opts.Kinds, opts.Zones, opts.Reporting.Fields = names.Kinds, names.Zones, names.Report
 	for _, kind := range from.Kinds {
 		opts.FamilyInfo.PerCall = append(opts.FamilyInfo.PerCall, kind.PerCall)
-		opts.FamilyInfo.SeparateRoutes = append(opts.FamilyInfo.SeparateRoutes, kind.Apart)
+		opts.FamilyInfo.SeparateRoutes = append(opts.FamilyInfo.SeparateRoutes, kind.SeparateRoutes)
 	}
 	for i, quota := range from.Quotas {
 		opts.Realms = append(opts.Realms, realm{Name(names.Portfolios, i), quota})
 	}
 	opts.Discovery, opts.WeightSource, opts.FamilyInfo.LosesWorth = "automatic", "none", "even"
-	if from.ListOnAsk {
+	if from.WatchOnRequest {
 		opts.Discovery = "subscribe"
 	}
-	if from.HalvesLate {
+	if from.LateCreditHalves {
 		opts.FamilyInfo.LosesWorth = "by_half"
 	}
 	for name, rateError := range listedRateErrors {
@@ -260,14 +260,14 @@
 		}
 	}
 	opts.FamilyInfo.FeeByZone, opts.FamilyInfo.Slots, opts.GroupSize = from.ZoneFees, from.Slots, from.Senders
-	opts.Limits.OpenCap, opts.Limits.SendCap, opts.Limits.Cancel = from.HoldLimit, from.TripLimit, from.CallOff
-	opts.Limits.ConnIdle, opts.Limits.ConnectTime = toMicros(from.IdleKept), toMicros(names.ConnectTime)
-	opts.Limits.RetryAfter, opts.Limits.MaxRetryAfter = from.RetryAfter, toMicros(from.RetryMost)
+	opts.Limits.OpenCap, opts.Limits.SendCap, opts.Limits.Cancel = from.HoldLimit, from.TripLimit, from.CancelTrips
+	opts.Limits.ConnIdle, opts.Limits.ConnectTime = toMicros(from.IdleTimeout), toMicros(names.ConnectTime)
+	opts.Limits.RetryAfter, opts.Limits.MaxRetryAfter = from.RetryAfter, toMicros(from.MaxRetryAfter)
 	opts.Goal.Whole, opts.Goal.WorstClass, opts.OverShareWorth, opts.Tick =
-		from.WholeGoal, from.WorstGoal, from.OverShare, toMicros(from.Tick)
-	opts.Obligations.ColdFrom, opts.Obligations.TipMultiple = from.ColdFrom, from.TipMultiple
+		from.TotalCreditWeight, from.WorstGradeWeight, from.OverQuotaWeight, toMicros(from.Tick)
+	opts.Obligations.ColdFrom, opts.Obligations.TipMultiple = from.ColdCapacity, from.OverloadFactor
 	opts.Obligations.Fall, opts.Obligations.KeyRest, opts.Obligations.WarmWithin =
-		toMicros(from.Fall), toMicros(from.KeyRest), toMicros(from.WarmWithin)
-	opts.Obligations.MustAskIn = toMicros(from.AskWithin)
+		toMicros(from.OverloadTime), toMicros(from.KeyCooldown), toMicros(from.WarmUpTime)
+	opts.Obligations.MustAskIn = toMicros(from.RewatchWithin)
 	return json.Marshal(opts)
 }
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -109,18 +109,18 @@
 	}
 }
 
-// Queued reports whether bytes that were read have not been passed to the owner yet.
-func (c *Conn) Queued() bool { return c.queuedBuffers.Load() > 0 }
+// HasQueuedData reports whether bytes that were read have not been passed to the owner yet.
+func (c *Conn) HasQueuedData() bool { return c.queuedBuffers.Load() > 0 }
 
 // allDelivered reports whether all bytes that were read have been passed to the owner.
-func (c *Conn) allDelivered() bool { return !c.reading.Load() && !c.Queued() }
+func (c *Conn) allDelivered() bool { return !c.reading.Load() && !c.HasQueuedData() }
 
 // Written reports whether all bytes that were written have been passed to the kernel.
 func (c *Conn) Written() bool { return c.sentTotal.Load() >= c.writeTotal }
 
-// Quiet reports whether nothing has arrived that the owner has not received yet: neither bytes nor the end of the
-// connection.
-func (c *Conn) Quiet() bool {
+// NothingUnread reports whether nothing has arrived that the owner has not received yet: neither bytes nor the end of
+// the connection.
+func (c *Conn) NothingUnread() bool {
 	if !c.allDelivered() {
 		return false
 	}
@@ -139,10 +139,10 @@
 	}
 }
 
-// CloseQuiet closes the connection and returns true unless bytes that its owner has not received have been read or
-// wait in the kernel: then the connection stays open and its owner receives them. Bytes that arrive after the close
-// are never read.
-func (c *Conn) CloseQuiet() bool {
+// CloseIfNothingUnread closes the connection and returns true unless bytes that its owner has not received have been
+// read or wait in the kernel: then the connection stays open and its owner receives them. Bytes that arrive after the
+// close are never read.
+func (c *Conn) CloseIfNothingUnread() bool {
 	if c.closed {
 		return true
 	}
--- a/internal/sockets/reading.go
+++ b/internal/sockets/reading.go
@@ -98,5 +98,6 @@
 // sealPollInterval is how long Seal waits between checks whether the poller is still reading.
 const sealPollInterval = 100 * time.Microsecond
 
-// Unheard returns the number of buffers that were read and then discarded because the owner had closed the connection.
-func (n *Net) Unheard() int { return n.discarded }
+// DiscardedBuffers returns the number of buffers that were read and then discarded because the owner had closed the
+// connection.
+func (n *Net) DiscardedBuffers() int { return n.discarded }
--- a/internal/sockets/reuse_test.go
+++ b/internal/sockets/reuse_test.go
@@ -31,8 +31,8 @@
 
 // newReuseFixture starts the Net, whose limit of queued bytes is 0.
 func newReuseFixture(t *testing.T) *reuseFixture {
-	lim := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
-	lim.Queued = 0
+	lim := limits.For(limits.Machine{}, rules.Settings{IdleTimeout: 10_000}, 1000)
+	lim.QueuedBytes = 0
 	s := &reuseFixture{t: t, owner: &openCloseRecorder{closed: map[*Conn]error{}}}
 	var err error
 	if s.net, err = Start("127.0.0.1:0", lim, buffers.NewPool(lim.Buffer), s.owner); err != nil {
@@ -115,7 +115,7 @@
 				other, _ := s.connect()
 				client, old := s.connect()
 				s.holdPollerBeforeReset(client, busy, other)
-				closeConn(old, s.net.limits.List)
+				closeConn(old, s.net.limits.ReceiverListBytes)
 				// Two descriptor numbers below the old one are free, so the third new descriptor gets the old number:
 				// a file, a dialled socket and its copy; or both ends of an accepted connection and the copy of the
 				// accepted end.
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -55,7 +55,7 @@
 	sealed      atomic.Bool  // nothing more may be read on any connection
 	activeReads atomic.Int32 // connections that the poller may be reading
 
-	discarded     int            // see Unheard; used on the owner goroutine only
+	discarded     int            // see DiscardedBuffers; used on the owner goroutine only
 	pendingWrites map[*Conn]bool // connections with bytes that wait to be written; used on the owner goroutine only
 }
 
@@ -68,7 +68,7 @@
 	nbio.MaxOpenFiles = lim.Clients + lim.Receivers + 1024
 	n.engine = nbio.NewEngine(nbio.Config{
 		Network: nbio.NETWORK_TCP, Addrs: []string{address}, NPoller: 1,
-		ReadBufferSize: lim.Buffer, MaxWriteBufferSize: lim.List,
+		ReadBufferSize: lim.Buffer, MaxWriteBufferSize: lim.ReceiverListBytes,
 		// An event is reported once and not again until rearm asks for it: unread bytes wait in the kernel.
 		EpollMod: nbio.EPOLLET, EPOLLONESHOT: nbio.EPOLLONESHOT,
 		Listen: func(network, addr string) (net.Listener, error) {
@@ -171,7 +171,7 @@
 // enqueue adds an event to the queue. With data it blocks while too many bytes wait in the queue.
 func (n *Net) enqueue(e event) {
 	n.mu.Lock()
-	for e.data != nil && n.queuedBytes > n.limits.Queued && !n.stopped {
+	for e.data != nil && n.queuedBytes > n.limits.QueuedBytes && !n.stopped {
 		n.spaceFreed.Wait() // only the poller can block here, never the owner goroutine
 	}
 	if e.data != nil {
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -30,7 +30,7 @@
 // raceCloseWithSend runs clients that send at the moment at which their connections are closed, and returns the
 // number of requests that were read and then discarded.
 func raceCloseWithSend(t *testing.T, count int, closeConn func(*Conn)) int {
-	lim := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
+	lim := limits.For(limits.Machine{}, rules.Settings{IdleTimeout: 10_000}, 1000)
 	owner := &closingOwner{closeConn: closeConn}
 	n, err := Start("127.0.0.1:0", lim, buffers.NewPool(lim.Buffer), owner)
 	if err != nil {
@@ -63,7 +63,7 @@
 		clients.Wait()
 	}
 	n.Seal()
-	return n.Unheard()
+	return n.DiscardedBuffers()
 }
 
 // Guards against a connection that is closed after a request was read from it and before its owner received the
@@ -73,7 +73,8 @@
 		for until := time.Now().Add(150 * time.Microsecond); time.Now().Before(until); {
 		}
 	}
-	if discarded := raceCloseWithSend(t, 4000, func(c *Conn) { awaitSend(c); c.CloseQuiet() }); discarded > 0 {
+	if discarded := raceCloseWithSend(t, 4000,
+		func(c *Conn) { awaitSend(c); c.CloseIfNothingUnread() }); discarded > 0 {
 		t.Errorf("%d requests were read and discarded because their connections were closed", discarded)
 	}
 }
@@ -92,7 +93,7 @@
 
 // startCollector starts a Net whose accepted connections belong to a collector.
 func startCollector(t *testing.T, o *collector) *Net {
-	lim := limits.For(limits.Machine{}, rules.Settings{IdleKept: 10_000}, 1000)
+	lim := limits.For(limits.Machine{}, rules.Settings{IdleTimeout: 10_000}, 1000)
 	n, err := Start("127.0.0.1:0", lim, buffers.NewPool(lim.Buffer), o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -32,7 +32,7 @@
 
 // Clients submits the notices of a scenario instance at their times, independently of how fast the senders respond.
 type Clients struct {
-	env        *Stage
+	env        *Environment
 	addresses  []string       // senders' addresses
 	usableFrom []atomic.Int64 // by sender: 0 if it is up, -1 once it is down, 1<<62 once that is detected
 	leaving    []atomic.Bool  // by sender: it was told to shut down
@@ -45,14 +45,14 @@
 	random  *rand.Rand
 	pending map[string]*effect // by the ID of the last submission: effects that may be submitted again
 
-	// Answer is called with the status of each response, 0 if there was none, and the time since the intended
+	// OnResponse is called with the status of each response, 0 if there was none, and the time since the intended
 	// submission.
-	Answer func(status int, took rules.Millis)
+	OnResponse func(status int, took rules.Millis)
 	// Offered counts first submissions, and Late those of them that were more than 10 ms after their intended time.
 	Offered, Late atomic.Int64
-	// Bad counts the connections of hostile clients, and BadOpen those that got neither an error response nor a close
-	// in time.
-	Bad, BadOpen atomic.Int64
+	// HostileConnections counts the connections of hostile clients, and HostileUnanswered those that got neither an
+	// error response nor a close in time.
+	HostileConnections, HostileUnanswered atomic.Int64
 }
 
 // effect is a piece of work that a client wants done once, however often it submits it.
@@ -77,9 +77,9 @@
 }
 
 // NewClients returns clients that submit to the senders at some addresses.
-func NewClients(env *Stage, addresses []string) *Clients {
+func NewClients(env *Environment, addresses []string) *Clients {
 	c := &Clients{env: env, addresses: addresses, usableFrom: make([]atomic.Int64, len(addresses)),
-		leaving: make([]atomic.Bool, len(addresses)), random: scenario.Chance(env.World.Seed, 1<<40),
+		leaving: make([]atomic.Bool, len(addresses)), random: scenario.NewRand(env.Instance.Seed, 1<<40),
 		pending: map[string]*effect{}}
 	for range addresses {
 		c.pools = append(c.pools, &pool{})
@@ -90,13 +90,13 @@
 // Run submits all notices and returns when the last one has its response. Notices that a sender dismisses later are
 // still submitted again.
 func (c *Clients) Run() {
-	for i, fault := range c.env.World.Faults {
+	for i, fault := range c.env.Instance.Faults {
 		if fault.Kind == scenario.Hostile {
 			c.inFlight.Add(1)
-			go c.runHostileClients(fault, scenario.Chance(c.env.World.Seed, 1<<41+uint64(i)))
+			go c.runHostileClients(fault, scenario.NewRand(c.env.Instance.Seed, 1<<41+uint64(i)))
 		}
 	}
-	arrivals := c.env.World.Arrivals()
+	arrivals := c.env.Instance.Arrivals()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
@@ -105,7 +105,7 @@
 			break
 		}
 		submitted := &effect{Arrival: arrival, name: fmt.Sprintf("e%d", c.lastNumber.Add(1)), firstAt: arrival.At}
-		if c.env.World.Settings.Grades[arrival.Grade].Repeat == rules.Numbered {
+		if c.env.Instance.Settings.Grades[arrival.Grade].Repeat == rules.Numbered {
 			submitted.mark = "m" + submitted.name[1:]
 		}
 		c.Offered.Add(1)
@@ -147,17 +147,17 @@
 	return first % n
 }
 
-// Leaving marks a sender that was told to shut down. The load balancer detects it like one that is down, and open
+// MarkLeaving marks a sender that was told to shut down. The load balancer detects it like one that is down, and open
 // connections to it stay in use.
-func (c *Clients) Leaving(sender int) {
+func (c *Clients) MarkLeaving(sender int) {
 	c.leaving[sender].Store(true)
-	c.Dead(sender)
+	c.MarkDown(sender)
 }
 
-// Dead marks a sender as down from now on. Clients stop choosing it only after the time in which a load balancer would
-// detect that, unless Back is called before.
-func (c *Clients) Dead(sender int) {
-	detectionTime := c.env.World.FrontNotice
+// MarkDown marks a sender as down from now on. Clients stop choosing it only after the time in which a load balancer
+// would detect that, unless MarkUp is called before.
+func (c *Clients) MarkDown(sender int) {
+	detectionTime := c.env.Instance.FailureDetectionDelay
 	go func() {
 		if c.env.sleep(toDuration(detectionTime)) && c.usableFrom[sender].Load() == -1 {
 			c.usableFrom[sender].Store(1 << 62)
@@ -166,8 +166,8 @@
 	c.usableFrom[sender].Store(-1)
 }
 
-// Back marks a sender as serving again.
-func (c *Clients) Back(sender int) {
+// MarkUp marks a sender as serving again.
+func (c *Clients) MarkUp(sender int) {
 	c.leaving[sender].Store(false)
 	c.usableFrom[sender].Store(0)
 }
@@ -176,7 +176,7 @@
 // submission should have been made, and retry the value of the Client-Retry header, empty for none.
 func (c *Clients) submit(e *effect, intended rules.Millis, resubmitted bool, retry string) {
 	defer c.inFlight.Done()
-	w, now := c.env.World, c.env.Clock.Now()
+	w, now := c.env.Instance, c.env.Clock.Now()
 	remaining := e.firstAt + w.Settings.Grades[e.Grade].ClientTimeout - now
 	if remaining < 1 {
 		return
@@ -184,16 +184,16 @@
 	sender := c.chooseSender()
 	id := fmt.Sprintf("n%d-%s", c.lastNumber.Add(1), e.name)
 	// The submission is recorded before the sender can receive its ID.
-	c.env.Record.Submitted(audit.Hand{ID: id, Effect: e.name, Mark: e.mark, Grade: e.Grade,
+	c.env.Record.Submitted(audit.Submission{ID: id, Effect: e.name, Mark: e.mark, Grade: e.Grade,
 		Portfolio: e.Portfolio, Key: e.Key, Dest: e.Destination, Sender: sender, At: now, Until: now + remaining,
-		Intended: e.firstAt, Again: resubmitted})
+		Intended: e.firstAt, Resubmitted: resubmitted})
 	c.mu.Lock()
 	c.pending[id] = e
 	c.mu.Unlock()
 	status, retryAfter, sent := c.exchange(sender, e, id, remaining, retry)
 	at := c.env.Clock.Now()
-	if c.Answer != nil {
-		c.Answer(status, at-intended)
+	if c.OnResponse != nil {
+		c.OnResponse(status, at-intended)
 	}
 	if status > 0 {
 		c.env.Record.Answered(id, status, at)
@@ -219,9 +219,9 @@
 
 // resubmit submits an effect once more after a delay, if its client chooses to and the client timeout allows it.
 func (c *Clients) resubmit(id string, e *effect, after rules.Millis, retry string) {
-	w := c.env.World
+	w := c.env.Instance
 	c.mu.Lock()
-	retries := c.random.Float64() < w.Traffic.Again
+	retries := c.random.Float64() < w.Traffic.ResubmitShare
 	delete(c.pending, id)
 	c.mu.Unlock()
 	at := c.env.Clock.Now() + after
@@ -239,7 +239,7 @@
 }
 
 // Ended handles a final outcome that the platform received. A dismissed notice may be submitted again.
-func (c *Clients) Ended(e directory.End) {
+func (c *Clients) Ended(e directory.FinalOutcome) {
 	c.mu.Lock()
 	submitted := c.pending[e.Message]
 	delete(c.pending, e.Message)
@@ -288,8 +288,8 @@
 // sent is false if no byte can have reached the sender.
 func (c *Clients) exchange(sender int, e *effect, id string, remaining rules.Millis, retry string) (status int,
 	retryAfter rules.Millis, sent bool) {
-	w := c.env.World
-	deadline := time.Now().Add(toDuration(w.Traffic.Patience))
+	w := c.env.Instance
+	deadline := time.Now().Add(toDuration(w.Traffic.AnswerTimeout))
 	var request bytes.Buffer
 	grade := w.Names.Grades[e.Grade]
 	fmt.Fprintf(&request, "POST /%s HTTP/1.1\r\nHost: sender\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
@@ -355,8 +355,8 @@
 	}
 }
 
-// Quit closes the clients' idle connections.
-func (c *Clients) Quit() {
+// CloseIdle closes the clients' idle connections.
+func (c *Clients) CloseIdle() {
 	for _, p := range c.pools {
 		p.mu.Lock()
 		for _, l := range p.idle {
@@ -421,7 +421,7 @@
 		return
 	}
 	defer conn.Close()
-	c.Bad.Add(1)
+	c.HostileConnections.Add(1)
 	requests := []byte(strings.Repeat("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n", 100))
 	conn.SetWriteDeadline(time.Now().Add(min(max(c.env.Clock.Until(until), 0), 2*time.Second)))
 	for {
@@ -439,7 +439,7 @@
 		return // the sender is down
 	}
 	defer conn.Close()
-	c.Bad.Add(1)
+	c.HostileConnections.Add(1)
 	conn.SetDeadline(time.Now().Add(3200 * time.Millisecond))
 	io.WriteString(conn, request)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -451,6 +451,6 @@
 	}
 	if timedOut ||
 		err == nil && !slices.Contains([]int{400, 404, 405, 408, 413, 431, 501, 503, 505}, response.StatusCode) {
-		c.BadOpen.Add(1)
+		c.HostileUnanswered.Add(1)
 	}
 }
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -19,32 +19,32 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Asked is a call that a receiver has read, as passed to a test's script.
-type Asked struct {
+// ReceivedCall is a call that a receiver has read, as passed to a test's script.
+type ReceivedCall struct {
 	ID, Mark, Receiver, Remote string
 	Path                       string
 	Body                       []byte
-	Gone                       <-chan struct{} // closed when the sender ends the connection
+	PeerClosed                 <-chan struct{} // closed when the sender ends the connection
 }
 
 // Reply is the response to a call, as a test's script decides it.
 type Reply struct {
-	Status int
-	Fields []string // header lines
-	Body   string
-	Raw    string        // bytes to write in place of a response made of the fields above
-	After  time.Duration // delay before the response
-	Close  bool          // close the connection after the response
-	Reset  bool          // reset the connection, after writing Raw
-	Never  bool          // send no response
-	Ran    bool          // the call took effect
+	Status     int
+	Fields     []string // header lines
+	Body       string
+	Raw        string        // bytes to write in place of a response made of the fields above
+	Delay      time.Duration // delay before the response
+	Close      bool          // close the connection after the response
+	Reset      bool          // reset the connection, after writing Raw
+	NoResponse bool          // send no response
+	Ran        bool          // the call took effect
 }
 
 // Gateways serves all destinations of a run.
 type Gateways struct {
-	env *Stage
+	env *Environment
 	// Script, if set, decides the responses in place of the scenario's destinations. Tests use it.
-	Script func(*Asked) Reply
+	Script func(*ReceivedCall) Reply
 
 	mu           sync.Mutex
 	destinations map[int]*destination
@@ -73,10 +73,10 @@
 }
 
 // NewGateways opens the receivers of a scenario instance.
-func NewGateways(env *Stage) (*Gateways, error) {
+func NewGateways(env *Environment) (*Gateways, error) {
 	g := &Gateways{env: env, destinations: map[int]*destination{}, receivers: map[string]*receiver{}}
-	for _, d := range env.World.Destinations {
-		opened := &destination{Site: gateway.NewSite(env.World, d)}
+	for _, d := range env.Instance.Destinations {
+		opened := &destination{Site: gateway.NewSite(env.Instance, d)}
 		g.destinations[d.Number] = opened
 		for _, id := range d.Receivers {
 			if err := g.Open(id, d.Number); err != nil {
@@ -97,7 +97,7 @@
 		}
 		at = next
 		d.mu.Lock()
-		d.StepOutage(at)
+		d.UpdateOutage(at)
 		d.mu.Unlock()
 	}
 }
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// Gone removes a receiver and resets its connections.
-func (g *Gateways) Gone(id string) {
+// Remove removes a receiver and resets its connections.
+func (g *Gateways) Remove(id string) {
 	g.mu.Lock()
 	r := g.receivers[id]
 	delete(g.receivers, id)
@@ -324,7 +324,7 @@
 		}
 		d := r.destination
 		d.mu.Lock()
-		full := d.Group.Shape.Connections > 0 && d.open >= d.Group.Shape.Connections
+		full := d.Group.Profile.Connections > 0 && d.open >= d.Group.Profile.Connections
 		if !full {
 			d.open++
 		}
@@ -392,12 +392,12 @@
 }
 
 // recordEnd records the end of the connection for the retractable calls.
-func (l *connection) recordEnd(env *Stage) {
+func (l *connection) recordEnd(env *Environment) {
 	at := env.Clock.Now()
 	for i, a := range l.retractable {
 		last := i == len(l.retractable)-1
 		env.Record.Update(a.call, func(c *audit.Call) {
-			c.Ended = at
+			c.ConnectionEnded = at
 			// The sender may never have read a response that was followed by a reset.
 			if last && l.closedLocally.Load() && c.Closed == 0 {
 				c.Closed = at
@@ -524,7 +524,7 @@
 func (r *receiver) drawFault(kind string, grade int) (scenario.Fault, bool) {
 	r.destination.mu.Lock()
 	defer r.destination.mu.Unlock()
-	return r.destination.Strike(kind, grade, r.gateways.env.Clock.Now())
+	return r.destination.DrawFault(kind, grade, r.gateways.env.Clock.Now())
 }
 
 // plannedResponse is what happens to a call, as decided by the destination or by a test's script.
@@ -544,14 +544,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	verdict := d.Decide(now, sender, grade)
-	if verdict.Fell {
-		r.gateways.env.Record.Overloaded(audit.Fall{Dest: d.Number, At: now, By: d.Core.Pushed(), Seen: d.SeenBy()})
+	if verdict.CausedOverload {
+		r.gateways.env.Record.Overloaded(audit.Overload{Dest: d.Number, At: now, By: d.Core.CallsBySender(),
+			SawOutage: d.SendersThatSawOutage()})
 	}
 	return plannedResponse{
-		Reply: Reply{Status: verdict.Status, Fields: verdict.Fields, Raw: verdict.Raw, Reset: verdict.Reset,
-			Never: verdict.Never, Ran: verdict.Ran},
-		due: verdict.At, requestedWait: verdict.Wait, slow: verdict.Slow, malformed: verdict.Spoilt,
-		fault: verdict.Fault, lostUnseen: verdict.Unseen}
+		Reply: Reply{Status: verdict.Status, Fields: verdict.HeaderLines, Raw: verdict.Raw, Reset: verdict.Reset,
+			NoResponse: verdict.NoResponse, Ran: verdict.TookEffect},
+		due: verdict.At, requestedWait: verdict.Wait, slow: verdict.Dribbled, malformed: verdict.Malformed,
+		fault: verdict.Fault, lostUnseen: verdict.LostUnread}
 }
 
 // respond handles one call and reports whether the connection stays in use.
@@ -559,15 +560,16 @@
 	env, id, mark := r.gateways.env, received.id, received.mark
 	submission, known := env.Record.SubmissionOf(id)
 	observed := audit.Call{ID: id, Receiver: r.id, Mark: mark, Dest: r.destination.Number,
-		Apart: r.hasSeparateRoutes(), First: received.first, Last: received.last, Before: c.callCount}
+		SeparateRoutes: r.hasSeparateRoutes(), First: received.first, Last: received.last, EarlierCalls: c.callCount}
 	c.callCount++
 	var planned plannedResponse
 	switch {
 	case r.gateways.Script != nil:
-		planned.Reply = r.gateways.Script(&Asked{ID: id, Mark: mark, Receiver: r.id, Remote: c.RemoteAddr().String(),
-			Path: received.path, Body: received.body, Gone: c.watchPeer()})
-		planned.due = env.Clock.Now() + rules.Millis(planned.After)/1e6
-	case !known && !env.Strangers:
+		planned.Reply = r.gateways.Script(&ReceivedCall{ID: id, Mark: mark, Receiver: r.id,
+			Remote: c.RemoteAddr().String(),
+			Path:   received.path, Body: received.body, PeerClosed: c.watchPeer()})
+		planned.due = env.Clock.Now() + rules.Millis(planned.Delay)/1e6
+	case !known && !env.ServeUnknown:
 		planned = plannedResponse{Reply: Reply{Status: 400}, due: received.last}
 	default:
 		if !known {
@@ -581,10 +583,10 @@
 		at := env.Clock.Now()
 		env.Record.Update(call, func(c *audit.Call) { c.Closed = at })
 	}
-	if wait := max(env.Clock.Until(planned.due), planned.After); wait > 0 || planned.Never {
+	if wait := max(env.Clock.Until(planned.due), planned.Delay); wait > 0 || planned.NoResponse {
 		due := time.NewTimer(wait)
 		defer due.Stop()
-		if planned.Never {
+		if planned.NoResponse {
 			due.Stop()
 		}
 		select {
@@ -636,9 +638,9 @@
 
 // hasSeparateRoutes reports whether senders treat the destination's receivers as separate routes.
 func (r *receiver) hasSeparateRoutes() bool {
-	for i, name := range r.gateways.env.World.Names.Kinds {
+	for i, name := range r.gateways.env.Instance.Names.Kinds {
 		if name == r.destination.Group.Kind {
-			return r.gateways.env.World.Settings.Kinds[i].Apart
+			return r.gateways.env.Instance.Settings.Kinds[i].SeparateRoutes
 		}
 	}
 	return false
@@ -663,7 +665,8 @@
 	recordWritten := func() {
 		at := env.Clock.Now()
 		env.Record.Update(call, func(c *audit.Call) {
-			c.Replied, c.Status, c.Wait, c.Spoilt = at, planned.Status, planned.requestedWait, planned.malformed
+			c.Replied, c.Status, c.RequestedWait, c.Malformed = at, planned.Status, planned.requestedWait,
+				planned.malformed
 			c.Delivered, c.Unfinished = planned.Status == 200, planned.slow
 		})
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -19,7 +19,7 @@
 
 // Platform serves the receiver list and accepts reports of final outcomes. It has an address for each sender.
 type Platform struct {
-	env      *Stage
+	env      *Environment
 	gateways *Gateways
 
 	mu        sync.Mutex
@@ -29,17 +29,17 @@
 	wake      chan struct{}    // closed at the next change of the list
 	addresses []string         // last address of each sender
 	servers   []*http.Server
-	// Ended is called with each final outcome that a sender reported. It must not block.
-	Ended func(sender int, e directory.End)
-	// Answer may respond to a request in place of the platform, and returns whether it did. Tests use it.
-	Answer func(sender int, w http.ResponseWriter, r *http.Request, body []byte) bool
+	// OnOutcome is called with each final outcome that a sender reported. It must not block.
+	OnOutcome func(sender int, e directory.FinalOutcome)
+	// Override may respond to a request in place of the platform, and returns whether it did. Tests use it.
+	Override func(sender int, w http.ResponseWriter, r *http.Request, body []byte) bool
 }
 
 // NewPlatform opens a platform for a number of senders, with the gateways' receivers in its list.
-func NewPlatform(env *Stage, g *Gateways, senders int) (*Platform, error) {
+func NewPlatform(env *Environment, g *Gateways, senders int) (*Platform, error) {
 	p := &Platform{env: env, gateways: g, members: map[string]directory.Member{}, changed: map[string]int64{},
 		wake: make(chan struct{})}
-	for _, d := range env.World.Destinations {
+	for _, d := range env.Instance.Destinations {
 		for _, id := range d.Receivers {
 			p.members[id] = p.newMember(d, id, "ready")
 			p.changed[id] = 1
@@ -47,7 +47,7 @@
 	}
 	p.revision = 1
 	for sender := range senders {
-		if err := p.Listen(sender, env.Free()); err != nil {
+		if err := p.Listen(sender, env.UnusedAddress()); err != nil {
 			return nil, err
 		}
 	}
@@ -90,8 +90,8 @@
 // newMember returns the list entry of a receiver in a phase.
 func (p *Platform) newMember(d *scenario.Destination, id, phase string) directory.Member {
 	m := directory.Member{ID: id, HostPort: p.gateways.Address(id), Flavor: d.Group.Kind, Cell: int64(d.Number),
-		Phase: phase, Size: d.Group.Shape.Limit}
-	if zones := p.env.World.Names.Zones; len(zones) > 0 {
+		Phase: phase, Size: d.Group.Profile.Limit}
+	if zones := p.env.Instance.Names.Zones; len(zones) > 0 {
 		m.Locality = zones[0]
 	}
 	return m
@@ -136,7 +136,7 @@
 // activeFault returns the fault of a kind that is active now, if there is one.
 func (p *Platform) activeFault(kind string) (scenario.Fault, bool) {
 	now := p.env.Clock.Now()
-	for _, f := range p.env.World.Faults {
+	for _, f := range p.env.Instance.Faults {
 		if f.Kind == kind && f.Active(now) {
 			return f, true
 		}
@@ -150,7 +150,7 @@
 	if err != nil {
 		return
 	}
-	if p.Answer != nil && p.Answer(sender, w, r, body) {
+	if p.Override != nil && p.Override(sender, w, r, body) {
 		return
 	}
 	if f, on := p.activeFault(scenario.ListSilent); on && r.Method == "GET" {
@@ -173,13 +173,13 @@
 // acceptOutcomes handles a report of final outcomes, one JSON object a line. It accepts all of them or none.
 func (p *Platform) acceptOutcomes(sender int, w http.ResponseWriter, body []byte) {
 	if _, on := p.activeFault(scenario.EndsRefused); on {
-		p.env.Record.ReportRefused(audit.Shut{Sender: sender, At: p.env.Clock.Now()})
+		p.env.Record.ReportRefused(audit.RefusedReport{Sender: sender, At: p.env.Clock.Now()})
 		w.WriteHeader(500)
 		return
 	}
-	var outcomes []directory.End
+	var outcomes []directory.FinalOutcome
 	for lines := bufio.NewScanner(newReader(body)); lines.Scan(); {
-		var e directory.End
+		var e directory.FinalOutcome
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Message == "" ||
 			e.Outcome != directory.GivenUp && e.Outcome != directory.HandedBack {
 			w.WriteHeader(400)
@@ -188,12 +188,13 @@
 		outcomes = append(outcomes, e)
 	}
 	for _, e := range outcomes {
-		p.env.Record.Outcome(audit.End{ID: e.Message, Outcome: e.Outcome, Sender: sender, At: p.env.Clock.Now()})
+		p.env.Record.Outcome(audit.FinalOutcome{ID: e.Message, Outcome: e.Outcome, Sender: sender,
+			At: p.env.Clock.Now()})
 	}
 	w.WriteHeader(204)
-	if p.Ended != nil {
+	if p.OnOutcome != nil {
 		for _, e := range outcomes {
-			p.Ended(sender, e)
+			p.OnOutcome(sender, e)
 		}
 	}
 }
@@ -237,7 +238,7 @@
 	http.NewResponseController(w).Flush()
 	at := p.env.Clock.Now()
 	for _, m := range list.Members {
-		p.env.Record.Listed(audit.Told{Receiver: m.ID, Standing: m.Phase, Sender: sender, At: at})
+		p.env.Record.Listed(audit.Listing{Receiver: m.ID, Status: m.Phase, Sender: sender, At: at})
 	}
 }
 
@@ -250,8 +251,8 @@
 // followFaults drains, removes and replaces receivers at the times of the scenario's faults.
 func (p *Platform) followFaults() {
 	var steps []step
-	delay := p.env.World.ListDelay
-	for _, d := range p.env.World.Destinations {
+	delay := p.env.Instance.ListDelay
+	for _, d := range p.env.Instance.Destinations {
 		for n, f := range d.Faults {
 			old := d.Receivers
 			replacements := make([]string, len(old))
@@ -272,7 +273,7 @@
 			}
 			remove := func() {
 				for _, id := range old {
-					p.gateways.Gone(id)
+					p.gateways.Remove(id)
 				}
 			}
 			switch f.Kind {
--- a/internal/standin/stage.go
+++ b/internal/standin/stage.go
@@ -21,8 +21,8 @@
 // Clock measures the scenario's time, which starts at the first notice.
 type Clock struct{ startedAt atomic.Int64 }
 
-// Begin starts the scenario's time now.
-func (c *Clock) Begin() { c.startedAt.Store(time.Now().UnixNano()) }
+// Start starts the scenario's time now.
+func (c *Clock) Start() { c.startedAt.Store(time.Now().UnixNano()) }
 
 // Now returns the time in the scenario, -1 before it has begun.
 func (c *Clock) Now() rules.Millis {
@@ -43,13 +43,13 @@
 	return time.Duration(m * rules.Millis(time.Millisecond))
 }
 
-// Stage is the test environment of one run, which all stand-ins share.
-type Stage struct {
-	World  *scenario.World
-	Clock  *Clock
-	Record *audit.Record
-	// Strangers lets gateways serve calls for notices that no client of this environment submitted.
-	Strangers     bool
+// Environment is the test environment of one run, which all stand-ins share.
+type Environment struct {
+	Instance *scenario.Instance
+	Clock    *Clock
+	Record   *audit.Record
+	// ServeUnknown lets gateways serve calls for notices that no client of this environment submitted.
+	ServeUnknown  bool
 	done          chan struct{}
 	once          sync.Once
 	netByte       byte // the run's own loopback addresses are 127.netByte.subnetByte.host
@@ -57,17 +57,17 @@
 	addressesUsed atomic.Int64
 }
 
-// NewStage returns the test environment for a run of a scenario instance.
-func NewStage(w *scenario.World) *Stage {
-	return &Stage{World: w, Clock: &Clock{}, Record: audit.NewRecord(), done: make(chan struct{}),
+// NewEnvironment returns the test environment for a run of a scenario instance.
+func NewEnvironment(w *scenario.Instance) *Environment {
+	return &Environment{Instance: w, Clock: &Clock{}, Record: audit.NewRecord(), done: make(chan struct{}),
 		netByte: byte(20 + rand.IntN(200)), subnetByte: byte(1 + rand.IntN(250))}
 }
 
 // Close stops all stand-ins.
-func (s *Stage) Close() { s.once.Do(func() { close(s.done) }) }
+func (s *Environment) Close() { s.once.Do(func() { close(s.done) }) }
 
 // sleep waits for a duration and reports whether the run goes on.
-func (s *Stage) sleep(d time.Duration) bool {
+func (s *Environment) sleep(d time.Duration) bool {
 	if d <= 0 {
 		select {
 		case <-s.done:
@@ -88,7 +88,7 @@
 
 // waitUntil waits for a time in the scenario and reports whether the run goes on. It sleeps for at
 // most 20 ms at a time.
-func (s *Stage) waitUntil(when rules.Millis) bool {
+func (s *Environment) waitUntil(when rules.Millis) bool {
 	for s.Clock.Now() < when {
 		wait := s.Clock.Until(when)
 		if s.Clock.Now() < 0 || wait > 20*time.Millisecond {
@@ -103,10 +103,10 @@
 
 // Listen listens on an unused loopback address of this run. Its port is below the range that the kernel assigns to
 // outgoing connections, so the same address can be closed and opened again.
-func (s *Stage) Listen() (net.Listener, error) {
+func (s *Environment) Listen() (net.Listener, error) {
 	var lastErr error
 	for range 200 {
-		l, err := net.Listen("tcp", s.Free())
+		l, err := net.Listen("tcp", s.UnusedAddress())
 		if err == nil {
 			return l, nil
 		}
@@ -117,14 +117,14 @@
 	return nil, fmt.Errorf("listening on loopback: %w", lastErr)
 }
 
-// Free returns an address that this run has not used yet.
-func (s *Stage) Free() string {
+// UnusedAddress returns an address that this run has not used yet.
+func (s *Environment) UnusedAddress() string {
 	n := s.addressesUsed.Add(1) - 1
 	return fmt.Sprintf("127.%d.%d.%d:%d", s.netByte, s.subnetByte, 1+n%250, 7000+n/250)
 }
 
 // Ended reports whether the run is over.
-func (s *Stage) Ended() bool {
+func (s *Environment) Ended() bool {
 	select {
 	case <-s.done:
 		return true
@@ -133,5 +133,5 @@
 	}
 }
 
-// At waits for a time in the scenario and reports whether the run goes on.
-func (s *Stage) At(when rules.Millis) bool { return s.waitUntil(when) }
+// WaitUntil waits for a time in the scenario and reports whether the run goes on.
+func (s *Environment) WaitUntil(when rules.Millis) bool { return s.waitUntil(when) }
--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -25,19 +25,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Start makes the command that starts a sender with a configuration file and a state directory.
-type Start func(configPath, stateDir string) *exec.Cmd
+// NewCommand makes the command that starts a sender with a configuration file and a state directory.
+type NewCommand func(configPath, stateDir string) *exec.Cmd
 
-// Serve returns a Start for chuteweir itself, which logs at the given level.
-func Serve(program, level string) Start {
+// ServeCommand returns a NewCommand for chuteweir itself, which logs at the given level.
+func ServeCommand(program, level string) NewCommand {
 	return func(configPath, stateDir string) *exec.Cmd {
 		return exec.Command(program, "serve", "--log-format", "json", "--log-level", level, "--state", stateDir,
 			configPath)
 	}
 }
 
-// Relay returns a Start for the plain relay that serves as the baseline of comparisons.
-func Relay(program string) Start {
+// RelayCommand returns a NewCommand for the plain relay that serves as the baseline of comparisons.
+func RelayCommand(program string) NewCommand {
 	return func(configPath, _ string) *exec.Cmd { return exec.Command(program, "relay", configPath) }
 }
 
@@ -53,8 +53,8 @@
 // Sender runs one sender of the scenario: a process, and those that replace it after a restart.
 type Sender struct {
 	number                             int
-	stage                              *standin.Stage
-	start                              Start
+	stage                              *standin.Environment
+	start                              NewCommand
 	config                             config.Config
 	dir, configPath, stateDir, address string
 
@@ -75,7 +75,8 @@
 }
 
 // newSender prepares a sender's state directory and configuration; launch starts its process.
-func newSender(number int, stage *standin.Stage, start Start, senderConfig config.Config, dir string) (*Sender, error) {
+func newSender(number int, stage *standin.Environment, start NewCommand, senderConfig config.Config,
+	dir string) (*Sender, error) {
 	s := &Sender{number: number, stage: stage, start: start, config: senderConfig, dir: dir,
 		address: senderConfig.Listen, exitsCleanly: true,
 		configPath: filepath.Join(dir, "config.json"), stateDir: filepath.Join(dir, "state")}
@@ -144,7 +145,7 @@
 		}
 		response.Body.Close()
 		if response.StatusCode == 200 {
-			s.stage.Record.Life(audit.Life{Sender: s.number, What: "ready", At: s.stage.Clock.Now()})
+			s.stage.Record.SenderChanged(audit.SenderEvent{Sender: s.number, What: "ready", At: s.stage.Clock.Now()})
 			if rss, _, err := processUsage(command.Process.Pid); err == nil && s.startRSS == 0 {
 				s.startRSS = rss
 			}
@@ -178,7 +179,7 @@
 		var fields map[string]any
 		undeclared := ""
 		if json.Unmarshal(scanner.Bytes(), &fields) == nil && line.Message != "" {
-			undeclared = logs.Unlisted(fields)
+			undeclared = logs.Undeclared(fields)
 		}
 		s.mu.Lock()
 		if undeclared != "" {
@@ -212,7 +213,7 @@
 
 // recordState notes a change of the sender's state in the audit record.
 func (s *Sender) recordState(state string) {
-	s.stage.Record.Life(audit.Life{Sender: s.number, What: state, At: s.stage.Clock.Now()})
+	s.stage.Record.SenderChanged(audit.SenderEvent{Sender: s.number, What: state, At: s.stage.Clock.Now()})
 }
 
 // kill ends the process with SIGKILL.
--- a/internal/trial/result.go
+++ b/internal/trial/result.go
@@ -24,57 +24,58 @@
 
 // Result summarizes a run. All figures are measured with stand-ins on the loopback of one machine.
 type Result struct {
-	Scenario       string                  `json:"scenario"`
-	Seed           uint64                  `json:"seed"`
-	Senders        int                     `json:"senders"`
-	Seconds        float64                 `json:"seconds"`
-	All            Share                   `json:"all"`
-	Grades         []Share                 `json:"grades"`
-	Well, Sick     Share                   // by whether the destination counts as failing (Options.Sick)
-	Submitted      int                     `json:"handed"` // submissions, including repeated ones of a notice
-	Accepted       int                     `json:"taken"`
-	Refused        int                     `json:"refused"`    // submissions answered with 429 or 503
-	Unanswered     int                     `json:"unanswered"` // without a final answer within the clients' timeout
-	Dismissed      int                     `json:"dismissed"`  // notices whose final outcome is handed_back
-	BrokenOff      int                     `json:"broken_off"` // notices with another final outcome
-	Calls          int                     `json:"calls"`
-	CallsFull      int                     `json:"calls_full"`     // calls that a gateway rejected with 429 or 503
-	Further        int                     `json:"further"`        // calls seen by a gateway beyond each notice's first
-	Overloads      int                     `json:"falls"`          // destinations overloaded during recovery
-	SecondEffects  int                     `json:"second_effects"` // effects of at-most-once notices beyond the first
-	Answers        Times                   `json:"answers_ms"`     // time until the senders' final answers to clients
-	BreakerChanges []BreakerChange         `json:"breaker_turns"`
-	Held           []HeldSample            `json:"held"`
-	CPU            float64                 `json:"cpu_us_a_notice"` // of all senders, for each wanted notice
-	PeakRSS        int64                   `json:"peak_rss"`        // bytes, highest of all senders
-	PeakFDs        int                     `json:"peak_descriptors"`
-	LateOffers     int                     `json:"late_offers"` // submitted over 10 ms late: the machine was too busy
-	BadClients     int                     `json:"bad_clients"`
-	Breaches       []audit.Breach          `json:"breaches"`
-	View           audit.View              `json:"-"`
-	World          *scenario.World         `json:"-"`
-	Spread         *hdrhistogram.Histogram `json:"-"`         // times of all deliveries, in microseconds
-	StartRSS       int64                   `json:"start_rss"` // bytes when first ready, highest of all senders
+	Scenario        string                  `json:"scenario"`
+	Seed            uint64                  `json:"seed"`
+	Senders         int                     `json:"senders"`
+	Seconds         float64                 `json:"seconds"`
+	All             Share                   `json:"all"`
+	Grades          []Share                 `json:"grades"`
+	Well, Sick      Share                   // by whether the destination counts as failing (Options.IsFailing)
+	Submitted       int                     `json:"handed"` // submissions, including repeated ones of a notice
+	Accepted        int                     `json:"taken"`
+	Refused         int                     `json:"refused"`    // submissions answered with 429 or 503
+	Unanswered      int                     `json:"unanswered"` // without a final answer within the clients' timeout
+	Dismissed       int                     `json:"dismissed"`  // notices whose final outcome is handed_back
+	BrokenOff       int                     `json:"broken_off"` // notices with another final outcome
+	Calls           int                     `json:"calls"`
+	CallsFull       int                     `json:"calls_full"`     // calls that a gateway rejected with 429 or 503
+	Further         int                     `json:"further"`        // calls at gateways beyond each notice's first
+	Overloads       int                     `json:"falls"`          // destinations overloaded during recovery
+	SecondEffects   int                     `json:"second_effects"` // effects of at-most-once notices beyond the first
+	Answers         Times                   `json:"answers_ms"`     // time until the senders' final answers to clients
+	BreakerChanges  []BreakerChange         `json:"breaker_turns"`
+	Held            []HeldSample            `json:"held"`
+	CPU             float64                 `json:"cpu_us_a_notice"` // of all senders, for each wanted notice
+	PeakRSS         int64                   `json:"peak_rss"`        // bytes, highest of all senders
+	PeakFDs         int                     `json:"peak_descriptors"`
+	LateSubmissions int                     `json:"late_offers"` // submitted over 10 ms late: the machine was too busy
+	BadClients      int                     `json:"bad_clients"`
+	Breaches        []audit.Breach          `json:"breaches"`
+	View            audit.View              `json:"-"`
+	Instance        *scenario.Instance      `json:"-"`
+	Deliveries      *hdrhistogram.Histogram `json:"-"`         // times of all deliveries, in microseconds
+	StartRSS        int64                   `json:"start_rss"` // bytes when first ready, highest of all senders
 }
 
 // result summarizes the run from the audit record and the measurements of the senders' processes.
 func (t *trial) result(responseTimes *hdrhistogram.Histogram, submitDuration time.Duration, cpuTime time.Duration,
 	endedAt rules.Millis) *Result {
-	world := t.stage.World
+	world := t.stage.Instance
 	result := &Result{Scenario: world.Name, Seed: world.Seed, Senders: world.Senders, Seconds: submitDuration.Seconds(),
-		Answers: results.Spread(responseTimes), LateOffers: int(t.clients.Late.Load()),
-		BadClients: int(t.clients.Bad.Load()), Breaches: t.breaches(endedAt), World: world, Held: t.heldSamples}
+		Answers: results.Summarize(responseTimes), LateSubmissions: int(t.clients.Late.Load()),
+		BadClients: int(t.clients.HostileConnections.Load()), Breaches: t.breaches(endedAt), Instance: world,
+		Held: t.heldSamples}
 	result.View = t.stage.Record.View()
-	result.Overloads = len(result.View.Falls)
+	result.Overloads = len(result.View.Overloads)
 	deliveredAt, effectCounts, called := map[string]rules.Millis{}, map[string]int{}, map[string]bool{}
-	submissions := map[string]*audit.Hand{}
-	for i := range result.View.Hands {
-		submissions[result.View.Hands[i].ID] = &result.View.Hands[i]
+	submissions := map[string]*audit.Submission{}
+	for i := range result.View.Submissions {
+		submissions[result.View.Submissions[i].ID] = &result.View.Submissions[i]
 	}
 	for i := range result.View.Calls {
 		call := &result.View.Calls[i]
 		result.Calls++
-		if !call.Spoilt && (call.Status == 429 || call.Status == 503) {
+		if !call.Malformed && (call.Status == 429 || call.Status == 503) {
 			result.CallsFull++
 		}
 		submission := submissions[call.ID]
@@ -100,11 +101,11 @@
 		grades[i] = results.NewTally(name)
 	}
 	counted, cpuNotices := map[string]bool{}, 0
-	for i := range result.View.Hands {
-		submission := &result.View.Hands[i]
+	for i := range result.View.Submissions {
+		submission := &result.View.Submissions[i]
 		result.Submitted++
 		switch {
-		case submission.Taken():
+		case submission.Accepted():
 			result.Accepted++
 		case submission.Status == 429 || submission.Status == 503:
 			result.Refused++
@@ -121,7 +122,7 @@
 		at, wasDelivered := deliveredAt[submission.Effect]
 		maxCredit, earned := world.Settings.Grades[submission.Grade].Credit, 0.0
 		if wasDelivered {
-			earned = world.Worth(submission.Grade, at-submission.Intended)
+			earned = world.EarnedCredit(submission.Grade, at-submission.Intended)
 		}
 		healthGroup := healthy
 		if t.isFailing(submission.Dest) {
@@ -132,7 +133,7 @@
 		}
 	}
 	ended := map[string]bool{}
-	for _, outcome := range result.View.Ends {
+	for _, outcome := range result.View.Outcomes {
 		if ended[outcome.ID] {
 			continue
 		}
@@ -143,7 +144,7 @@
 			result.BrokenOff++
 		}
 	}
-	result.Spread = all.Spread
+	result.Deliveries = all.Deliveries
 	result.All, result.Well, result.Sick = all.Share(), healthy.Share(), failing.Share()
 	for _, g := range grades {
 		result.Grades = append(result.Grades, g.Share())
@@ -165,17 +166,17 @@
 
 // isFailing reports whether the result counts a destination as failing.
 func (t *trial) isFailing(destination int) bool {
-	if t.Sick != nil {
-		return t.Sick(destination)
+	if t.IsFailing != nil {
+		return t.IsFailing(destination)
 	}
-	return len(t.stage.World.Destinations[destination-1].Faults) > 0
+	return len(t.stage.Instance.Destinations[destination-1].Faults) > 0
 }
 
 // Clean reports whether the run had no breaches.
 func (r *Result) Clean() bool { return len(r.Breaches) == 0 }
 
-// Table writes the result as readable text.
-func (r *Result) Table(out io.Writer) {
+// WriteTable writes the result as readable text.
+func (r *Result) WriteTable(out io.Writer) {
 	fmt.Fprintf(out, "scenario %s, seed %d, %d senders, %.1f s\n\n", r.Scenario, r.Seed, r.Senders, r.Seconds)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "\twanted\tdelivered\tcredit\tp50 ms\tp99 ms\tp99.9 ms")
@@ -200,20 +201,20 @@
 	if r.BadClients > 0 {
 		fmt.Fprintf(out, "bad clients' connections %d\n", r.BadClients)
 	}
-	if r.LateOffers > 0 {
-		fmt.Fprintf(out, "%d notices were handed in over 10 ms late: this machine is too busy\n", r.LateOffers)
+	if r.LateSubmissions > 0 {
+		fmt.Fprintf(out, "%d notices were handed in over 10 ms late: this machine is too busy\n", r.LateSubmissions)
 	}
-	for i, fault := range r.World.Faults {
+	for i, fault := range r.Instance.Faults {
 		if i == 0 {
 			fmt.Fprintln(out)
 		}
 		var affected []string
-		for _, d := range r.World.Destinations {
+		for _, d := range r.Instance.Destinations {
 			if slices.Contains(d.Faults, fault) {
 				affected = append(affected, fmt.Sprint(d.Number))
 			}
 		}
-		for _, s := range r.World.Struck[i] {
+		for _, s := range r.Instance.AffectedSenders[i] {
 			affected = append(affected, fmt.Sprintf("sender %d", s))
 		}
 		if len(affected) > 8 {
@@ -227,7 +228,7 @@
 		fmt.Fprintln(out, "\nall six rules kept")
 		return
 	}
-	fmt.Fprintf(out, "\n%d breaches:\n%s", len(r.Breaches), audit.Tell(r.Breaches))
+	fmt.Fprintf(out, "\n%d breaches:\n%s", len(r.Breaches), audit.FormatBreaches(r.Breaches))
 }
 
 // writeBreakers writes how often the breakers of each destination opened and closed, and their first change with its
--- a/internal/trial/sick.go
+++ b/internal/trial/sick.go
@@ -7,8 +7,8 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Trouble measures what the failing destinations of a run cost the senders and the healthy destinations.
-type Trouble struct {
+// FailureImpact measures what the failing destinations of a run cost the senders and the healthy destinations.
+type FailureImpact struct {
 	At         []rules.Millis `json:"at"`          // times of the samples
 	SlotsShare []float64      `json:"slots_share"` // part of all slots that calls to failing destinations hold, by At
 	MostSlots  float64        `json:"most_slots"`  // highest of SlotsShare
@@ -23,12 +23,12 @@
 // duration random variation produces peaks.
 const loadWindow = 500
 
-// Trouble computes what the destinations for which failing returns true cost. The slots that they hold are the
+// FailureImpact computes what the destinations for which failing returns true cost. The slots that they hold are the
 // outstanding calls that the senders report, less the calls that healthy gateways saw open at that time. The failing
 // gateways cannot count their own, because a connection that is never established does not reach them. For a program
 // that reports no outstanding calls, the share is 0.
-func (r *Result) Trouble(failing func(destination int) bool) Trouble {
-	var impact Trouble
+func (r *Result) FailureImpact(failing func(destination int) bool) FailureImpact {
+	var impact FailureImpact
 	var healthyStarts, failingStarts []rules.Millis // starts of calls at healthy destinations; starts at failing ones
 	var healthyEnds []rules.Millis
 	for i := range r.View.Calls {
@@ -51,14 +51,14 @@
 	}
 	failingNotices := 0
 	counted := map[string]bool{}
-	for i := range r.View.Hands {
-		if submission := &r.View.Hands[i]; failing(submission.Dest) && !counted[submission.Effect] {
+	for i := range r.View.Submissions {
+		if submission := &r.View.Submissions[i]; failing(submission.Dest) && !counted[submission.Effect] {
 			counted[submission.Effect] = true
 			failingNotices++
 		}
 	}
-	totalSlots := float64(r.World.Settings.Slots * r.Senders)
-	meanPerWindow := float64(failingNotices) / float64(r.World.Length) * loadWindow
+	totalSlots := float64(r.Instance.Settings.Slots * r.Senders)
+	meanPerWindow := float64(failingNotices) / float64(r.Instance.Length) * loadWindow
 	for _, sample := range r.Held {
 		if sample.At < 0 {
 			continue
--- a/internal/trial/soak_test.go
+++ b/internal/trial/soak_test.go
@@ -37,30 +37,30 @@
 	sc.Seed = seed
 	scenario.Mix(sc)
 	sc.Names.ConnectTime = soakConnectTime
-	random := scenario.Chance(seed, 1<<45)
+	random := scenario.NewRand(seed, 1<<45)
 	// Slow calls make the sender open more connections, and a lowered limit makes the gateway request waits while these
 	// are being established.
 	sc.Faults = append(sc.Faults,
 		scenario.Fault{Kind: scenario.Slow, Group: soakSlowConnectGroup, For: sc.Length, Part: 1, Share: 0.7, Size: 25,
-			Each: 1000},
+			Period: 1000},
 		scenario.Fault{Kind: scenario.LowLimit, Group: soakSlowConnectGroup, For: sc.Length, Part: 1, Share: 1,
-			Size: 0.3, Each: 1000})
+			Size: 0.3, Period: 1000})
 	for range soakSlowConnectPeriods {
 		sc.Faults = append(sc.Faults, scenario.Fault{Kind: scenario.NeverUp, Group: soakSlowConnectGroup,
 			At: sc.Length * rules.Millis(0.02+0.7*random.Float64()), For: soakSlowConnectDuration, Part: 1, Share: 1,
-			Size: 1, Each: 1000})
+			Size: 1, Period: 1000})
 	}
 	if seed%soakHostileSeedInterval == 0 {
 		sc.Faults = append(sc.Faults, scenario.Fault{Kind: scenario.Hostile, At: sc.Length / 10, For: sc.Length / 2,
-			Part: 1, Share: 1, Size: soakHostileClients, Each: 1000})
+			Part: 1, Share: 1, Size: soakHostileClients, Period: 1000})
 	}
 	if !hasSenderFaults(sc) {
 		at := sc.Length * rules.Millis(0.2+0.3*random.Float64())
 		sc.Faults = append(sc.Faults,
 			scenario.Fault{Kind: scenario.Reload, At: at, For: soakSignalInterval / 2, Part: 1, Share: 1, Size: 1,
-				Each: 1000},
+				Period: 1000},
 			scenario.Fault{Kind: scenario.Stop, At: at + soakSignalInterval, For: 100, Part: 0.5, Share: 1, Size: 1,
-				Each: 1000})
+				Period: 1000})
 	}
 	return sc
 }
@@ -68,7 +68,7 @@
 // hasSenderFaults reports whether a fault of the scenario affects senders.
 func hasSenderFaults(s *scenario.Scenario) bool {
 	for _, f := range s.Faults {
-		if f.Strikes() == scenario.Senders {
+		if f.Target() == scenario.Senders {
 			return true
 		}
 	}
@@ -88,12 +88,12 @@
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
 			runInParallel(t)
 			result, err := Run(context.Background(),
-				Options{Scenario: soakScenario(t, seed+1), Start: Serve(program, "info")})
+				Options{Scenario: soakScenario(t, seed+1), Start: ServeCommand(program, "info")})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !result.Clean() {
-				t.Errorf("%d breaches\n%s", len(result.Breaches), audit.Tell(result.Breaches))
+				t.Errorf("%d breaches\n%s", len(result.Breaches), audit.FormatBreaches(result.Breaches))
 			}
 			if result.All.Asked < 300 {
 				t.Errorf("got %d notices, expected at least 300 for a meaningful run", result.All.Asked)
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -25,8 +25,8 @@
 // Options selects the scenario of a run and the senders that it runs against.
 type Options struct {
 	Scenario *scenario.Scenario
-	Start    Start          // makes the command of each sender process
-	Keep     string         // directory for configurations, ledgers and logs; if empty, they are deleted after the run
+	Start    NewCommand     // makes the command of each sender process
+	KeepDir  string         // directory for configurations, ledgers and logs; if empty, they are deleted after the run
 	Progress func(Progress) // if set, called about four times a second
 	// Targets holds the addresses of senders that are running already; the run starts none of its own then. They must
 	// use the platform at the address Platform.
@@ -36,11 +36,11 @@
 	// CPUFrom is the scenario time at which the measurement of processor time per notice begins. Processor time used
 	// and notices due before it are left out.
 	CPUFrom rules.Millis
-	// Sick reports whether the result counts a destination as failing. If nil, a destination is failing if a fault of
-	// the scenario affects it.
-	Sick func(destination int) bool
+	// IsFailing reports whether the result counts a destination as failing. If nil, a destination is failing if a fault
+	// of the scenario affects it.
+	IsFailing func(destination int) bool
 	// Prepare, if set, is called with the stand-ins before any sender starts.
-	Prepare func(*standin.Stage, *standin.Gateways, *standin.Platform)
+	Prepare func(*standin.Environment, *standin.Gateways, *standin.Platform)
 }
 
 // Progress reports how far a run has advanced.
@@ -53,8 +53,8 @@
 // Run runs a scenario. It returns an error only if the scenario could not be run; faults of the senders are breaches in
 // the result.
 func Run(ctx context.Context, options Options) (*Result, error) {
-	world := scenario.Lay(options.Scenario)
-	dir := options.Keep
+	world := scenario.NewInstance(options.Scenario)
+	dir := options.KeepDir
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "chuteweir-try"); err != nil {
@@ -62,7 +62,7 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	stage := standin.NewStage(world)
+	stage := standin.NewEnvironment(world)
 	defer stage.Close()
 	gateways, err := standin.NewGateways(stage)
 	if err != nil {
@@ -91,8 +91,9 @@
 		}
 	}
 	for i := range world.Senders - len(options.Targets) {
-		senderConfig := config.Config{Name: fmt.Sprintf("n%d", i), Listen: stage.Free(), Discovery: platform.Address(i),
-			Seed: scenario.Chance(world.Seed, 1<<42+uint64(i)).Uint64(), Machine: world.Machine,
+		senderConfig := config.Config{Name: fmt.Sprintf("n%d", i), Listen: stage.UnusedAddress(),
+			Discovery: platform.Address(i),
+			Seed:      scenario.NewRand(world.Seed, 1<<42+uint64(i)).Uint64(), Machine: world.Machine,
 			Settings: world.Settings, Names: world.Names}
 		sender, err := newSender(i, stage, options.Start, senderConfig, filepath.Join(dir, senderConfig.Name))
 		if err != nil {
@@ -107,10 +108,10 @@
 		}
 	}
 	current.clients = standin.NewClients(stage, addresses)
-	platform.Ended = func(_ int, e directory.End) { current.clients.Ended(e) }
+	platform.OnOutcome = func(_ int, e directory.FinalOutcome) { current.clients.Ended(e) }
 	responseTimes := hdrhistogram.New(1, 120_000_000, 3)
 	var responseTimesMu sync.Mutex
-	current.clients.Answer = func(status int, duration rules.Millis) {
+	current.clients.OnResponse = func(status int, duration rules.Millis) {
 		responseTimesMu.Lock()
 		defer responseTimesMu.Unlock()
 		if status > 0 {
@@ -121,10 +122,10 @@
 	defer stopWatchingContext()
 	current.uncountedCPU = current.cpuTime()
 	startedAt := time.Now()
-	stage.Clock.Begin()
+	stage.Clock.Start()
 	if options.CPUFrom > 0 {
 		go func() {
-			if stage.At(options.CPUFrom) {
+			if stage.WaitUntil(options.CPUFrom) {
 				current.mu.Lock()
 				defer current.mu.Unlock()
 				current.uncountedCPU = current.cpuTime()
@@ -135,7 +136,7 @@
 	go func() { current.monitor(); close(monitorDone) }()
 	var faultScripts sync.WaitGroup
 	for i, fault := range world.Faults {
-		for _, number := range world.Struck[i] {
+		for _, number := range world.AffectedSenders[i] {
 			faultScripts.Add(1)
 			go func() { defer faultScripts.Done(); current.applyFault(current.senders[number], fault) }()
 		}
@@ -144,7 +145,7 @@
 	submitDuration := time.Since(startedAt)
 	faultScripts.Wait()
 	for deadline := world.Length + world.Settle; stage.Clock.Now() < deadline &&
-		stage.Record.Open() > 0 && ctx.Err() == nil; {
+		stage.Record.Unfinished() > 0 && ctx.Err() == nil; {
 		time.Sleep(20 * time.Millisecond)
 	}
 	if ctx.Err() != nil {
@@ -154,7 +155,7 @@
 	for _, s := range current.senders {
 		s.sampleUsage()
 	}
-	current.clients.Quit()
+	current.clients.CloseIdle()
 	var shutdowns sync.WaitGroup
 	for _, s := range current.senders {
 		shutdowns.Add(1)
@@ -177,7 +178,7 @@
 // trial is the state of one run.
 type trial struct {
 	Options
-	stage       *standin.Stage
+	stage       *standin.Environment
 	platform    *standin.Platform
 	clients     *standin.Clients
 	senders     []*Sender
@@ -259,7 +260,7 @@
 func (t *trial) monitor() {
 	for {
 		now := t.stage.Clock.Now()
-		open := t.stage.Record.Open()
+		open := t.stage.Record.Unfinished()
 		outstanding := 0
 		for _, s := range t.senders {
 			s.sampleUsage()
@@ -278,7 +279,7 @@
 			}
 		}
 		if t.Progress != nil {
-			t.Progress(Progress{now, t.stage.World.Length, int(t.clients.Offered.Load()), open})
+			t.Progress(Progress{now, t.stage.Instance.Length, int(t.clients.Offered.Load()), open})
 		}
 		deadline := time.Now().Add(250 * time.Millisecond)
 		for time.Now().Before(deadline) {
@@ -296,15 +297,15 @@
 	s.restartMu.Lock()
 	defer s.restartMu.Unlock()
 	if fault.Kind == scenario.Kill {
-		t.clients.Dead(s.number)
+		t.clients.MarkDown(s.number)
 		s.kill()
 	} else {
-		t.clients.Leaving(s.number)
+		t.clients.MarkLeaving(s.number)
 		if err := s.shutdown(); err != nil {
 			t.addError(err)
 		}
 	}
-	if !t.stage.At(fault.Until()) {
+	if !t.stage.WaitUntil(fault.Until()) {
 		return
 	}
 	// What the old process received, such as requested waits, no longer binds the sender from here on, although the new
@@ -314,12 +315,12 @@
 		t.addError(err)
 		return
 	}
-	t.clients.Back(s.number)
+	t.clients.MarkUp(s.number)
 }
 
 // applyFault waits for the time of a fault that affects a sender, and applies it until its end.
 func (t *trial) applyFault(s *Sender, fault scenario.Fault) {
-	if !t.stage.At(fault.At) {
+	if !t.stage.WaitUntil(fault.At) {
 		return
 	}
 	switch fault.Kind {
@@ -328,14 +329,14 @@
 	case scenario.Freeze:
 		s.recordState("frozen")
 		s.signal(syscall.SIGSTOP)
-		t.stage.At(fault.Until())
+		t.stage.WaitUntil(fault.Until())
 		s.signal(syscall.SIGCONT)
 		s.recordState("going on")
 	case scenario.FewFiles:
 		if err := s.limitFiles(int(fault.Size)); err != nil {
 			t.addError(err)
 		}
-		t.stage.At(fault.Until())
+		t.stage.WaitUntil(fault.Until())
 		if err := s.limitFiles(-1); err != nil {
 			t.addError(err)
 		}
@@ -344,7 +345,7 @@
 			t.addError(err)
 		}
 		s.signal(syscall.SIGHUP)
-		t.stage.At(fault.Until())
+		t.stage.WaitUntil(fault.Until())
 		if err := t.platform.Listen(s.number, ""); err != nil {
 			t.addError(err)
 		}
@@ -359,7 +360,7 @@
 // breaches returns the breaches that the audit finds, and one for each problem of a sender, each error of the run, and
 // bad clients that were not handled in time.
 func (t *trial) breaches(endedAt rules.Millis) []audit.Breach {
-	found := t.stage.Record.Check(t.stage.World.Settings, audit.Usual, endedAt)
+	found := t.stage.Record.Check(t.stage.Instance.Settings, audit.Usual, endedAt)
 	for _, s := range t.senders {
 		s.mu.Lock()
 		for _, problem := range s.problems {
@@ -372,10 +373,10 @@
 	for _, err := range t.runErrors {
 		found = append(found, audit.Breach{Rule: audit.Other, What: err.Error()})
 	}
-	if count := t.clients.BadOpen.Load(); count > 0 {
+	if count := t.clients.HostileUnanswered.Load(); count > 0 {
 		found = append(found, audit.Breach{Rule: audit.Other,
 			What: fmt.Sprintf("%d of %d bad clients got neither an error response nor a close within 3 s", count,
-				t.clients.Bad.Load())})
+				t.clients.HostileConnections.Load())})
 	}
 	return found
 }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -109,7 +109,7 @@
 }
 
 // runScenario runs the scenario in text with a seed against the senders of start.
-func runScenario(t *testing.T, text string, seed uint64, start Start) *Result {
+func runScenario(t *testing.T, text string, seed uint64, start NewCommand) *Result {
 	t.Helper()
 	sc, problems := scenario.Read("made up", []byte(text))
 	if len(problems) > 0 {
@@ -147,7 +147,7 @@
 				found[b.Rule]++
 			}
 			if rule >= 0 && found[rule] == 0 || rule < 0 && len(found) > 0 {
-				t.Errorf("found %v\n%s", found, audit.Tell(result.Breaches))
+				t.Errorf("found %v\n%s", found, audit.FormatBreaches(result.Breaches))
 			}
 			if result.All.Asked < 300 {
 				t.Errorf("got %d notices, expected at least 300 for a meaningful run", result.All.Asked)
@@ -303,9 +303,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInParallel(t)
-			result := runScenario(t, "name = \"hard\"\n"+shortScenario+c.faults, 1, Serve(program, "debug"))
+			result := runScenario(t, "name = \"hard\"\n"+shortScenario+c.faults, 1, ServeCommand(program, "debug"))
 			if !result.Clean() {
-				t.Errorf("%d breaches\n%s", len(result.Breaches), audit.Tell(result.Breaches))
+				t.Errorf("%d breaches\n%s", len(result.Breaches), audit.FormatBreaches(result.Breaches))
 			}
 			if result.All.Credit < c.minCredit || c.maxCredit > 0 && result.All.Credit > c.maxCredit ||
 				result.All.Asked < 300 {
@@ -323,12 +323,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	result, err := Run(context.Background(), Options{Scenario: sc, Start: Serve(program, "info")})
+	result, err := Run(context.Background(), Options{Scenario: sc, Start: ServeCommand(program, "info")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !result.Clean() {
-		t.Error(audit.Tell(result.Breaches))
+		t.Error(audit.FormatBreaches(result.Breaches))
 	}
 	if result.Well.Credit < 0.99 || result.Well.Asked < 500 {
 		t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit,
@@ -348,15 +348,15 @@
 				t.Fatal(err)
 			}
 			sc.Traffic.Rate, sc.Settings.Slots, sc.Length, sc.Settle = 100, 12, 5000, 6000
-			world := scenario.Lay(sc)
-			result, err := Run(context.Background(), Options{Scenario: sc, Start: Serve(program, "info")})
+			world := scenario.NewInstance(sc)
+			result, err := Run(context.Background(), Options{Scenario: sc, Start: ServeCommand(program, "info")})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !result.Clean() {
-				t.Error(audit.Tell(result.Breaches))
+				t.Error(audit.FormatBreaches(result.Breaches))
 			}
-			impact := result.Trouble(func(d int) bool { return len(world.Destinations[d-1].Faults) > 0 })
+			impact := result.FailureImpact(func(d int) bool { return len(world.Destinations[d-1].Faults) > 0 })
 			if result.Well.Credit < 0.99 || result.Well.Asked < 70 {
 				t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit,
 					result.Well.Asked)
--- a/rules/api.go
+++ b/rules/api.go
@@ -50,52 +50,52 @@
 
 // Kind is a kind of destination.
 type Kind struct {
-	PerCall int  // number of notices that one call may carry
-	Apart   bool // its receivers are separate routes
+	PerCall        int  // number of notices that one call may carry
+	SeparateRoutes bool // its receivers are separate routes
 }
 
 // Settings configures a sender. It does not change while the sender runs.
 type Settings struct {
-	Grades      []Grade
-	Kinds       []Kind
-	Quotas      []float64 // of each portfolio, in notices per second for all senders together
-	ZoneFees    []float64 // fee of a call to each zone
-	Senders     int       // number of senders of the deployment
-	Slots       int       // highest number of outstanding calls
-	HoldLimit   int       // highest number of notices that are held or out; 0: no limit
-	TripLimit   int       // highest number of trips of a notice
-	CallOff     bool      // outstanding trips may be cancelled
-	Tick        Millis    // resolution of the caller's timers
-	OverShare   float64   // weight of the credit beyond a portfolio's quota
-	WholeGoal   float64   // weight of the total credit in the goal of the deployment
-	WorstGoal   float64   // weight of the grade that is served worst in this goal
-	HalvesLate  bool      // late credit halves with each further quoted time; otherwise it falls linearly
-	RetryAfter  bool      // a dismissal may say when to submit the notice again
-	RetryMost   Millis    // longest time that a dismissal may say
-	ListOnAsk   bool      // the platform sends changes of the receiver list only to senders that ask for a watch
-	AskWithin   Millis    // time within which a broken watch of the receiver list must be requested again
-	ListedError float64   // by how much a listed rate may be too high, as a share of the true one; < 0: none listed
-	ColdFrom    float64   // share of its capacity that a destination has at the end of an outage
-	WarmWithin  Millis    // time within which it regains its full capacity
-	// TipMultiple and Fall describe when a recovering destination is overloaded: it is sent more than
-	// TipMultiple times its present capacity for the time Fall. Fall is this overload time; the decisions
-	// also use it as the time scale of other measurements.
-	TipMultiple float64
-	Fall        Millis
-	KeyRest     Millis // cooldown of a key after a call that may still be running
-	IdleKept    Millis // how long receivers keep an idle connection
-	// Stall is the longest pause of the process to expect before it reads what has arrived, or writes what
+	Grades            []Grade
+	Kinds             []Kind
+	Quotas            []float64 // of each portfolio, in notices per second for all senders together
+	ZoneFees          []float64 // fee of a call to each zone
+	Senders           int       // number of senders of the deployment
+	Slots             int       // highest number of outstanding calls
+	HoldLimit         int       // highest number of notices that are held or out; 0: no limit
+	TripLimit         int       // highest number of trips of a notice
+	CancelTrips       bool      // outstanding trips may be cancelled
+	Tick              Millis    // resolution of the caller's timers
+	OverQuotaWeight   float64   // weight of the credit beyond a portfolio's quota
+	TotalCreditWeight float64   // weight of the total credit in the goal of the deployment
+	WorstGradeWeight  float64   // weight of the grade that is served worst in this goal
+	LateCreditHalves  bool      // late credit halves with each further quoted time; otherwise it falls linearly
+	RetryAfter        bool      // a dismissal may say when to submit the notice again
+	MaxRetryAfter     Millis    // longest time that a dismissal may say
+	WatchOnRequest    bool      // the platform sends changes of the receiver list only to senders that ask for a watch
+	RewatchWithin     Millis    // time within which a broken watch of the receiver list must be requested again
+	ListedError       float64   // how far a listed rate may exceed the true one, as a share of that; < 0: none listed
+	ColdCapacity      float64   // share of its capacity that a destination has at the end of an outage
+	WarmUpTime        Millis    // time within which it regains its full capacity
+	// OverloadFactor and OverloadTime describe when a recovering destination is overloaded: it is sent more than
+	// OverloadFactor times its present capacity for OverloadTime. The decisions also use OverloadTime as the
+	// time scale of other measurements.
+	OverloadFactor float64
+	OverloadTime   Millis
+	KeyCooldown    Millis // cooldown of a key after a call that may still be running
+	IdleTimeout    Millis // how long receivers keep an idle connection
+	// MaxPause is the longest pause of the process to expect before it reads what has arrived, or writes what
 	// was decided.
-	Stall Millis
+	MaxPause Millis
 }
 
-// Standing is the status of a receiver in the receiver list.
-type Standing uint8
+// ReceiverStatus is the status of a receiver in the receiver list.
+type ReceiverStatus uint8
 
 const (
-	Gone     Standing = iota // it is not in the list
-	Ready                    // it accepts calls
-	Draining                 // it must not get new calls
+	Gone     ReceiverStatus = iota // it is not in the list
+	Ready                          // it accepts calls
+	Draining                       // it must not get new calls
 )
 
 // Entry is one entry of the receiver list.
@@ -104,7 +104,7 @@
 	Destination DestinationID
 	Kind        KindID
 	Zone        ZoneID
-	Standing    Standing
+	Status      ReceiverStatus
 	ListedRate  float64 // calls per second that the destination, or the separate route, accepts
 }
 
@@ -112,17 +112,17 @@
 type Result uint8
 
 const (
-	Handled      Result = iota // delivered
-	Errored                    // the receiver responded with an error; the call may have run
-	Full                       // refused without being processed
-	TimedOut                   // no response came in time; the call may have run
-	NotConnected               // no connection was established; the call did not run
-	Reset                      // the connection broke; the call may have run
-	Cancelled                  // the sender stopped waiting; the call may have run
-	Moot                       // not sent; counts as a trip
-	Short                      // not sent because of a local shortage; counts as no trip
-	Recalled                   // not sent because it was recalled; counts as no trip
-	Ambiguous                  // the response may belong to another call; the call may have run
+	Handled       Result = iota // delivered
+	Errored                     // the receiver responded with an error; the call may have run
+	Full                        // refused without being processed
+	TimedOut                    // no response came in time; the call may have run
+	NotConnected                // no connection was established; the call did not run
+	Reset                       // the connection broke; the call may have run
+	Cancelled                   // the sender stopped waiting; the call may have run
+	NotSent                     // not sent; counts as a trip
+	LocalShortage               // not sent because of a local shortage; counts as no trip
+	Recalled                    // not sent because it was recalled; counts as no trip
+	Ambiguous                   // the response may belong to another call; the call may have run
 )
 
 // String returns the name of the result.
@@ -136,69 +136,69 @@
 type Event interface{ event() }
 
 type (
-	// NoticeTaken reports that the sender accepted a notice, which requires exactly one final answer.
-	NoticeTaken struct {
+	// NoticeAccepted reports that the sender accepted a notice, which requires exactly one final answer.
+	NoticeAccepted struct {
 		Notice      NoticeID
 		Grade       GradeID
 		Portfolio   PortfolioID
 		Key         KeyID // 0: none
 		Destination DestinationID
-		Left        Millis  // time until the client timeout
-		Waited      Millis  // how long it may have waited to be read; Left does not count this time
+		TimeLeft    Millis  // time until the client timeout
+		Waited      Millis  // how long it may have waited to be read; TimeLeft does not count this time
 		Inherited   bool    // another sender held it before, and died
-		Room        float64 // share of the space for notices at this sender (memory, ledger) that it takes
+		SpaceShare  float64 // share of the space for notices at this sender (memory, ledger) that it takes
 
 		// The fields below are set for a notice that this sender held before it restarted.
 
-		Trips, Ran int    // number of trips, and of those that may have run
-		RanAgo     Millis // time since the first trip that may have run was sent
-		RanZone    ZoneID // zone of the receiver of that trip
+		Trips, PossibleRuns int    // number of trips, and of those that may have run
+		FirstRunAgo         Millis // time since the first trip that may have run was sent
+		FirstRunZone        ZoneID // zone of the receiver of that trip
 	}
 	// TripEnded reports the outcome of one trip.
 	TripEnded struct {
-		Notice   NoticeID
-		Receiver ReceiverID
-		Result   Result
-		Spent    Millis // duration of the call
-		Wait     Millis // with Full: the wait that the receiver requested; 0: none
-		Over     bool   // the notice has ended, by this outcome or before
+		Notice        NoticeID
+		Receiver      ReceiverID
+		Result        Result
+		Duration      Millis // duration of the call
+		RequestedWait Millis // with Full: the wait that the receiver requested; 0: none
+		NoticeEnded   bool   // the notice has ended, by this outcome or before
 		// Unconfirmed says that the connection had carried calls before, so that the response may belong to
-		// another call: OutcomeConfirmed or OutcomeDoubted follows.
+		// another call: OutcomeConfirmed or OutcomeRetracted follows.
 		Unconfirmed bool
 		// MayBeDelivered says, with Ambiguous, that one of the possible responses was a success: nothing more
 		// may be sent for the notice.
 		MayBeDelivered bool
-		LimitTold      bool    // the response reported a limit
-		LimitLeft      float64 // share of the limit that is left
+		LimitReported  bool    // the response reported a limit
+		LimitRemaining float64 // share of the limit that is left
 		LimitRate      float64 // calls per second; 0: no limit
 	}
 	// ConnectionUp reports that the connection for a call is established, and asks whether the call may still
 	// be sent: the reply is Write or Recall. A call on an idle connection is written at once, without this
 	// event.
 	ConnectionUp struct{ Notice NoticeID }
-	// WaitTold reports a wait that a receiver requested, apart from the outcome of the call: before it or
+	// WaitRequested reports a wait that a receiver requested, apart from the outcome of the call: before it or
 	// after it.
-	WaitTold struct {
+	WaitRequested struct {
 		Receiver ReceiverID
 		Wait     Millis
 	}
 	// OutcomeConfirmed reports that an unconfirmed outcome is certain.
 	OutcomeConfirmed struct{ Notice NoticeID }
-	// OutcomeDoubted retracts an unconfirmed outcome: the response may belong to another call, and the trip
+	// OutcomeRetracted retracts an unconfirmed outcome: the response may belong to another call, and the trip
 	// may have run.
-	OutcomeDoubted struct {
+	OutcomeRetracted struct {
 		Notice   NoticeID
 		Receiver ReceiverID
 		SentAgo  Millis // time since the call of the trip was written
 	}
-	// SurplusHeard reports that a receiver sent unsolicited bytes.
-	SurplusHeard struct{ Receiver ReceiverID }
+	// UnsolicitedBytes reports that a receiver sent unsolicited bytes.
+	UnsolicitedBytes struct{ Receiver ReceiverID }
 	// NoticeWithdrawn reports that a notice no longer requires a final answer.
 	NoticeWithdrawn struct{ Notice NoticeID }
-	// ListTold reports entries of the receiver list: all of them, or those that changed.
-	ListTold struct {
-		Whole   bool // Entries is the whole list; receivers that are not in it are gone
-		Entries []Entry
+	// ListUpdated reports entries of the receiver list: all of them, or those that changed.
+	ListUpdated struct {
+		Complete bool // Entries is the whole list; receivers that are not in it are gone
+		Entries  []Entry
 	}
 	// ListFailed reports that the watch of the receiver list could not be started, or broke.
 	ListFailed struct{}
@@ -206,15 +206,15 @@
 	TimerDue struct{ Timer TimerID }
 )
 
-func (NoticeTaken) event()      {}
+func (NoticeAccepted) event()   {}
 func (TripEnded) event()        {}
 func (ConnectionUp) event()     {}
-func (WaitTold) event()         {}
+func (WaitRequested) event()    {}
 func (OutcomeConfirmed) event() {}
-func (OutcomeDoubted) event()   {}
-func (SurplusHeard) event()     {}
+func (OutcomeRetracted) event() {}
+func (UnsolicitedBytes) event() {}
 func (NoticeWithdrawn) event()  {}
-func (ListTold) event()         {}
+func (ListUpdated) event()      {}
 func (ListFailed) event()       {}
 func (TimerDue) event()         {}
 
@@ -278,8 +278,8 @@
 	return fmt.Sprintf("destination %d route %d %s: %s", t.Destination, t.Route, t.State, t.Why)
 }
 
-// Ends returns the final answers among the actions, each a Dismiss or a BreakOff, by their notices.
-func Ends(actions []Action) map[NoticeID]Action {
+// FinalAnswers returns the final answers among the actions, each a Dismiss or a BreakOff, by their notices.
+func FinalAnswers(actions []Action) map[NoticeID]Action {
 	finalAnswers := map[NoticeID]Action{}
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/rules/breaker.go
+++ b/rules/breaker.go
@@ -22,7 +22,7 @@
 func (s *Sender) suspect(r *route) bool {
 	return s.failing(r) || len(r.outstanding) > 0 && (r.meanDelay == 0 ||
 		s.now-max(r.outstanding[0].sentAt, r.lastResponseAt) >
-			max(overdueDelays*r.meanDelay, s.settings.Fall/32))
+			max(overdueDelays*r.meanDelay, s.settings.OverloadTime/32))
 }
 
 // repeatsOutageSign reports whether a failed or refused call is a further sign of an outage: the call was
@@ -30,7 +30,7 @@
 // a destination, one sender makes too few calls to see stronger evidence.
 func (s *Sender) repeatsOutageSign(r *route, c *call) bool {
 	return c.sentAt >= r.outageSince &&
-		r.recentHandled.read(s.now, s.settings.Fall) < math.Exp(-confirmingOverloadTimes)
+		r.recentHandled.read(s.now, s.settings.OverloadTime) < math.Exp(-confirmingOverloadTimes)
 }
 
 // noteOutageSign records a sign of an outage. The arguments tell whether the route counts as down from now
@@ -39,13 +39,13 @@
 	if r.outageSince == never || r.waitUntil > s.now {
 		r.pacingPhase, r.pacingStart = s.random(), max(s.now, r.waitUntil)
 	}
-	if r.outageSince == never && s.now-r.recoveredAt >= s.settings.WarmWithin {
+	if r.outageSince == never && s.now-r.recoveredAt >= s.settings.WarmUpTime {
 		r.maxRateBeforeOutage = s.maxServedRate(r)
 	}
 	r.outageSince = min(r.outageSince, s.now)
 	r.lastOutageSignAt = max(s.now, r.waitUntil)
 	r.outageConfirmed = r.outageConfirmed || confirmed ||
-		s.now-r.outageSince >= confirmingOverloadTimes*s.settings.Fall
+		s.now-r.outageSince >= confirmingOverloadTimes*s.settings.OverloadTime
 	r.down = r.down || r.outageConfirmed || down
 }
 
@@ -105,7 +105,8 @@
 			r.overdueTotal += float64(waited / c.overdueAfter)
 			longestWait = max(longestWait, waited)
 		}
-		if r.overdueTotal >= silentTimeouts && len(r.outstanding) > 1 && longestWait >= s.settings.Fall/2 {
+		if r.overdueTotal >= silentTimeouts && len(r.outstanding) > 1 &&
+			longestWait >= s.settings.OverloadTime/2 {
 			s.openBreaker(r, fmt.Sprintf("%d calls owed for %.0f ms", len(r.outstanding), longestWait))
 		}
 	}
--- a/rules/connections.go
+++ b/rules/connections.go
@@ -15,7 +15,7 @@
 	if !s.connectionsScarce(rc) {
 		minCalls = min(minCalls, keepIdleCalls)
 	}
-	return rc.recentCalls.read(s.now, s.settings.IdleKept) >= minCalls
+	return rc.recentCalls.read(s.now, s.settings.IdleTimeout) >= minCalls
 }
 
 // connectionsScarce reports whether destinations of a receiver's kind refuse connections, or too few calls
--- a/rules/connections_test.go
+++ b/rules/connections_test.go
@@ -20,7 +20,7 @@
 
 func TestCallLeavesWhenItsConnectionComesUp(t *testing.T) {
 	trace := startTrace(t, testSettings(), entry(1, 1))
-	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.accept(1, NoticeAccepted{Destination: 1})
 	trace.advance(100)
 	trace.establishConnection(1)
 	trace.note("a connection for a notice without outstanding trip, and one for an unknown notice")
@@ -31,29 +31,29 @@
 
 func TestCallIsRecalledDuringRequestedWait(t *testing.T) {
 	trace := startTrace(t, testSettings(), entry(1, 1), entry(2, 1))
-	trace.accept(3, NoticeTaken{Destination: 1, Grade: 2})
+	trace.accept(3, NoticeAccepted{Destination: 1, Grade: 2})
 	trace.advance(50)
 	trace.note("a wait requested in the turn in which a connection comes up applies to both receivers")
 	trip := trace.outstanding[0]
 	trace.outstanding = trace.outstanding[1:]
 	trace.establishConnection(2, TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Full,
-		Wait: 1000})
+		RequestedWait: 1000})
 	trace.establishConnection(3)
 	trace.advance(4000)
 }
 
 func TestCallIsRecalledFromDrainingReceiver(t *testing.T) {
 	trace := startTrace(t, testSettings(), entry(1, 1), entry(2, 1))
-	trace.accept(1, NoticeTaken{Destination: 1})
+	trace.accept(1, NoticeAccepted{Destination: 1})
 	draining := entry(trace.outstanding[0].Receiver, 1)
-	draining.Standing = Draining
-	trace.establishConnection(1, ListTold{Entries: []Entry{draining}})
+	draining.Status = Draining
+	trace.establishConnection(1, ListUpdated{Entries: []Entry{draining}})
 	trace.advance(50)
 }
 
 func TestCallIsRecalledWhenItsMarkIsForgotten(t *testing.T) {
 	trace := startTrace(t, testSettings(), entry(1, 1))
-	trace.accept(1, NoticeTaken{Destination: 1, Grade: 1, Trips: 1, Ran: 1, RanAgo: 5800})
+	trace.accept(1, NoticeAccepted{Destination: 1, Grade: 1, Trips: 1, PossibleRuns: 1, FirstRunAgo: 5800})
 	trace.advance(300)
 	trace.establishConnection(1)
 }
@@ -67,7 +67,7 @@
 
 func TestCallIsRecalledAfterOutageIsDetected(t *testing.T) {
 	trace := startTrace(t, settingsWithManySlots(), entry(1, 1))
-	trace.accept(3, NoticeTaken{Destination: 1})
+	trace.accept(3, NoticeAccepted{Destination: 1})
 	trace.advance(50)
 	trace.endTrip(NotConnected)
 	trace.endTrip(NotConnected)
@@ -78,11 +78,11 @@
 
 func TestCallIsRecalledWhileBreakerIsOpenOrHalfOpen(t *testing.T) {
 	trace := startTrace(t, settingsWithManySlots(), entry(1, 1))
-	trace.accept(1, NoticeTaken{Destination: 1, Grade: 2})
+	trace.accept(1, NoticeAccepted{Destination: 1, Grade: 2})
 	trace.outstanding = nil
 	trace.omitSends = true
 	for range minimumCallsBeforeCalculation {
-		trace.accept(1, NoticeTaken{Destination: 1})
+		trace.accept(1, NoticeAccepted{Destination: 1})
 		trace.endTrip(Errored)
 		trace.outstanding = nil
 		trace.advance(500)
--- a/rules/exchanges.go
+++ b/rules/exchanges.go
@@ -29,7 +29,7 @@
 	if rc == nil {
 		return SettleTime
 	}
-	return max(SettleTime, min(confirmDelays*rc.route.meanDelay, s.settings.Fall))
+	return max(SettleTime, min(confirmDelays*rc.route.meanDelay, s.settings.OverloadTime))
 }
 
 // WaitsToSettle reports whether a call waits for a connection that settles in the time left, rather than for
@@ -66,7 +66,7 @@
 }
 
 // retractOutcome retracts an outcome whose response may belong to another call: the trip may have run.
-func (s *Sender) retractOutcome(e OutcomeDoubted) {
+func (s *Sender) retractOutcome(e OutcomeRetracted) {
 	if ended := s.unconfirmed[e.Notice]; ended != nil {
 		s.coolDownKey(ended)
 		ended.unconfirmed = false
@@ -97,13 +97,13 @@
 // running.
 func (s *Sender) coolDownKey(n *notice) {
 	if queue := s.keys[n.key]; queue != nil {
-		queue.cooldownUntil = max(queue.cooldownUntil, s.now+s.settings.KeyRest)
+		queue.cooldownUntil = max(queue.cooldownUntil, s.now+s.settings.KeyCooldown)
 	}
 }
 
 // handleUnsolicitedBytes stops the reuse of connections to a destination after one of its receivers sent
 // bytes that no call had requested: each call gets a connection of its own, and idle connections are closed.
-func (s *Sender) handleUnsolicitedBytes(e SurplusHeard) {
+func (s *Sender) handleUnsolicitedBytes(e UnsolicitedBytes) {
 	rc := s.receivers[e.Receiver]
 	if rc == nil {
 		return
--- a/rules/exchanges_test.go
+++ b/rules/exchanges_test.go
@@ -7,7 +7,7 @@
 
 func TestNextNoticeOfAKeyWaitsUntilAnOutcomeIsConfirmed(t *testing.T) {
 	trace := startTrace(t, testSettings(), entry(1, 1))
-	trace.accept(5, NoticeTaken{Destination: 1, Grade: 1, Key: 7})
+	trace.accept(5, NoticeAccepted{Destination: 1, Grade: 1, Key: 7})
 	trace.endTrip(Handled, unconfirmedOutcome)
 	trace.advance(500)
 	trace.note("the first outcome is confirmed")
@@ -15,7 +15,7 @@
 	trace.endTrip(Handled, unconfirmedOutcome)
 	trace.advance(500)
 	trace.note("the second outcome is retracted")
-	trace.runTurn(OutcomeDoubted{Notice: 2, Receiver: 1, SentAgo: 600})
+	trace.runTurn(OutcomeRetracted{Notice: 2, Receiver: 1, SentAgo: 600})
 	trace.awaitTrip()
 	trace.note("the third notice is withdrawn before its refusal is confirmed")
 	trace.endTrip(Full, unconfirmedOutcome)
--- a/rules/gate.go
+++ b/rules/gate.go
@@ -32,7 +32,7 @@
 // markUnsafeFrom returns the time from which on a numbered notice that may have run is not sent again. The
 // receiver must still remember its mark when the call is written, and a pause of the process may delay that.
 func (s *Sender) markUnsafeFrom(n *notice) Millis {
-	return n.firstRunAt + n.grade.RemembersFor - s.settings.Stall
+	return n.firstRunAt + n.grade.RemembersFor - s.settings.MaxPause
 }
 
 // maySend reports whether a notice may be sent to a receiver now. Each send passes this check, whatever the
--- a/rules/notices.go
+++ b/rules/notices.go
@@ -10,19 +10,20 @@
 // which of them are ended without delivery, and when.
 
 // acceptNotice adds a notice to the hold. A notice of an unknown grade earns no credit.
-func (s *Sender) acceptNotice(e NoticeTaken) {
-	g := &grade{Grade: Grade{ClientTimeout: e.Left, QuotedTime: e.Left}}
+func (s *Sender) acceptNotice(e NoticeAccepted) {
+	g := &grade{Grade: Grade{ClientTimeout: e.TimeLeft, QuotedTime: e.TimeLeft}}
 	if int(e.Grade) < len(s.grades) {
 		g = s.grades[e.Grade]
 	}
-	n := &notice{id: e.Notice, grade: g, destination: s.destination(e.Destination), expiresAt: s.now + e.Left,
-		spaceShare: e.Room}
-	n.surelyInTimeUntil = n.expiresAt - max(e.Waited, s.settings.Stall)
+	n := &notice{id: e.Notice, grade: g, destination: s.destination(e.Destination),
+		expiresAt:  s.now + e.TimeLeft,
+		spaceShare: e.SpaceShare}
+	n.surelyInTimeUntil = n.expiresAt - max(e.Waited, s.settings.MaxPause)
 	submittedAt := n.expiresAt - g.ClientTimeout
 	n.quotedUntil = submittedAt + g.QuotedTime
 	n.credit = g.Credit * s.portfolioFactor(e.Portfolio)
 	n.trips, n.possibleRuns, n.mayHaveRun, n.firstRunAt, n.runZone =
-		e.Trips, e.Ran, e.Ran > 0, s.now-e.RanAgo, e.RanZone
+		e.Trips, e.PossibleRuns, e.PossibleRuns > 0, s.now-e.FirstRunAgo, e.FirstRunZone
 	if e.Inherited && g.Repeat == Numbered {
 		// The notice may have run since its submission, at a receiver that the event does not name.
 		// At-most-once notices that may have run are never passed to another sender.
@@ -39,16 +40,16 @@
 }
 
 // portfolioFactor returns the factor by which the credit of a portfolio's notices counts now. It falls
-// towards Settings.OverShare as the portfolio exceeds this sender's part of its quota.
+// towards Settings.OverQuotaWeight as the portfolio exceeds this sender's part of its quota.
 func (s *Sender) portfolioFactor(p PortfolioID) float64 {
 	if int(p) >= len(s.portfolioNotices) {
 		return 1
 	}
-	timeConstant := s.settings.WarmWithin
+	timeConstant := s.settings.WarmUpTime
 	s.portfolioNotices[p].add(s.now, timeConstant, 1)
 	quota := s.settings.Quotas[p] * float64(timeConstant) / 1000 / float64(max(s.settings.Senders, 1))
 	withinShare := min(1, quota/s.portfolioNotices[p].value)
-	return s.settings.OverShare + (1-s.settings.OverShare)*withinShare
+	return s.settings.OverQuotaWeight + (1-s.settings.OverQuotaWeight)*withinShare
 }
 
 // updateGradeWeights sets the weight of each grade from the two goals of the deployment: the total credit,
@@ -63,8 +64,8 @@
 		totalCredit, weightSum = totalCredit+requested, weightSum+g.weight
 	}
 	for _, g := range s.grades {
-		g.weight = s.settings.WholeGoal +
-			s.settings.WorstGoal*g.weight/weightSum*totalCredit/(1+g.requestedCredit.value)
+		g.weight = s.settings.TotalCreditWeight +
+			s.settings.WorstGradeWeight*g.weight/weightSum*totalCredit/(1+g.requestedCredit.value)
 	}
 }
 
@@ -77,7 +78,7 @@
 	} else {
 		d := Dismiss{Notice: n.id, ForRoom: forSpace}
 		if s.settings.RetryAfter && retryAt > s.now && retryAt < never {
-			d.RetryAfter = min(retryAt-s.now, s.settings.RetryMost)
+			d.RetryAfter = min(retryAt-s.now, s.settings.MaxRetryAfter)
 		}
 		s.emit(d)
 	}
@@ -88,9 +89,9 @@
 // timeout, because a timer may fire a tick late.
 func (s *Sender) answerBy(n *notice) Millis { return n.expiresAt - 3*s.settings.Tick }
 
-// AnswerMayBeLate reports whether a response that is read now may have come after the client timeout of its
+// ResponseMayBeLate reports whether a response that is read now may have come after the client timeout of its
 // notice. Such a response is no delivery, so the notice still needs a final answer.
-func (s *Sender) AnswerMayBeLate(id NoticeID, now Millis) bool {
+func (s *Sender) ResponseMayBeLate(id NoticeID, now Millis) bool {
 	n := s.notices[id]
 	return n != nil && now > n.surelyInTimeUntil
 }
--- a/rules/odd_test.go
+++ b/rules/odd_test.go
@@ -15,7 +15,7 @@
 
 // noticeState is what the test knows of a notice, to check the actions of the sender.
 type noticeState struct {
-	NoticeTaken
+	NoticeAccepted
 	expiresAt               Millis // client timeout
 	trips, finalAnswers     int
 	outstanding, mayHaveRun bool
@@ -25,15 +25,15 @@
 // checkRandomEvents drives one sender for 4000 turns and reports each violation of the rules.
 func checkRandomEvents(t *testing.T, random *rand.Rand) {
 	settings := testSettings()
-	settings.CallOff, settings.HoldLimit = true, 40
+	settings.CancelTrips, settings.HoldLimit = true, 40
 	var list []Entry
 	for id := range ReceiverID(6) {
 		list = append(list, Entry{Receiver: id, Destination: DestinationID(id / 2),
 			Kind: KindID(id / 4), Zone: ZoneID(id % 2),
-			Standing: Ready, ListedRate: float64(random.IntN(20))})
+			Status: Ready, ListedRate: float64(random.IntN(20))})
 	}
 	trace := &decisionTrace{sender: New(random.Uint64(), settings)}
-	trace.runTurn(ListTold{Whole: true, Entries: list})
+	trace.runTurn(ListUpdated{Complete: true, Entries: list})
 	notices := map[NoticeID]*noticeState{}
 	waitUntil := map[DestinationID]Millis{}
 	var acceptOrder []*noticeState
@@ -43,38 +43,38 @@
 		var events []Event
 		for range random.IntN(4) {
 			trace.lastNotice++
-			n := &noticeState{NoticeTaken: NoticeTaken{Notice: trace.lastNotice,
+			n := &noticeState{NoticeAccepted: NoticeAccepted{Notice: trace.lastNotice,
 				Grade: GradeID(random.IntN(4)), Key: KeyID(random.IntN(3)),
-				Destination: DestinationID(random.IntN(4)), Left: Millis(random.IntN(6000)),
+				Destination: DestinationID(random.IntN(4)), TimeLeft: Millis(random.IntN(6000)),
 				Inherited: random.IntN(9) == 0}}
-			n.expiresAt = trace.now + n.Left
+			n.expiresAt = trace.now + n.TimeLeft
 			notices[n.Notice] = n
 			acceptOrder = append(acceptOrder, n)
-			events = append(events, n.NoticeTaken)
+			events = append(events, n.NoticeAccepted)
 		}
 		for len(trace.outstanding) > 0 && random.IntN(3) > 0 {
 			trip := trace.outstanding[0]
 			trace.outstanding = trace.outstanding[1:]
 			n := notices[trip.Notice]
 			e := TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Result(random.IntN(8)),
-				Spent: 90}
+				Duration: 90}
 			n.outstanding, n.mayHaveRun = false,
-				n.mayHaveRun || e.Result != Full && e.Result != NotConnected && e.Result != Moot
-			e.LimitTold, e.LimitLeft, e.LimitRate = random.IntN(2) > 0, random.Float64(),
+				n.mayHaveRun || e.Result != Full && e.Result != NotConnected && e.Result != NotSent
+			e.LimitReported, e.LimitRemaining, e.LimitRate = random.IntN(2) > 0, random.Float64(),
 				float64(random.IntN(9))
 			if e.Result == Full && list[trip.Receiver].Kind == 0 {
-				e.Wait = Millis(random.IntN(900))
-				waitUntil[n.Destination] = max(waitUntil[n.Destination], trace.now+e.Wait)
+				e.RequestedWait = Millis(random.IntN(900))
+				waitUntil[n.Destination] = max(waitUntil[n.Destination], trace.now+e.RequestedWait)
 			}
 			if e.Result == Handled && n.finalAnswers == 0 {
-				e.Over, n.finalAnswers = true, 1
+				e.NoticeEnded, n.finalAnswers = true, 1
 			}
 			events = append(events, e)
 		}
 		if random.IntN(50) == 0 {
 			entry := &list[random.IntN(len(list))]
-			entry.Standing = Standing(random.IntN(3))
-			events = append(events, ListTold{Entries: []Entry{*entry}}, NoticeWithdrawn{Notice: 1 << 30})
+			entry.Status = ReceiverStatus(random.IntN(3))
+			events = append(events, ListUpdated{Entries: []Entry{*entry}}, NoticeWithdrawn{Notice: 1 << 30})
 		}
 		for _, a := range trace.sender.Decide(trace.now, events) {
 			switch a := a.(type) {
@@ -84,7 +84,7 @@
 				switch {
 				case n.finalAnswers > 0 || n.outstanding || n.trips >= settings.TripLimit:
 					violation("sent after its end, while outstanding or over the trip limit", n)
-				case entry.Standing != Ready || entry.Destination != n.Destination:
+				case entry.Status != Ready || entry.Destination != n.Destination:
 					violation("sent to a receiver that is not ready or of another destination", n)
 				case trace.now < waitUntil[n.Destination]:
 					violation("sent during a requested wait", n)
--- a/rules/outcomes.go
+++ b/rules/outcomes.go
@@ -13,7 +13,7 @@
 	c := n.currentCall
 	n.currentCall, n.unconfirmed = nil, e.Unconfirmed
 	s.recordCall(c, e)
-	countsAsRun := e.Result != Full && e.Result != NotConnected && e.Result != Moot &&
+	countsAsRun := e.Result != Full && e.Result != NotConnected && e.Result != NotSent &&
 		!countsAsNoTrip(e.Result)
 	if mayStillBeRunning(e.Result) {
 		s.coolDownKey(n)
@@ -21,9 +21,9 @@
 	if countsAsNoTrip(e.Result) {
 		n.trips--
 	}
-	if e.Result == Short {
+	if e.Result == LocalShortage {
 		s.pauseForShortage()
-	} else if n.trips > 1 && e.Result != Moot && e.Result != Recalled {
+	} else if n.trips > 1 && e.Result != NotSent && e.Result != Recalled {
 		s.furtherTrips.add(s.now, statisticsWindow, 1)
 		if e.Result == Handled {
 			s.succeededFurtherTrips.add(s.now, statisticsWindow, 1)
@@ -34,7 +34,7 @@
 		n.grade.earnedCredit.add(s.now, statisticsWindow, s.creditAt(n, s.now))
 		delete(c.receiver.failuresByGrade, n.grade)
 	}
-	if e.Over || n.ended || e.Result == Handled {
+	if e.NoticeEnded || n.ended || e.Result == Handled {
 		s.releaseNotice(n)
 		return
 	}
@@ -49,7 +49,7 @@
 		return
 	}
 	// The fewer of the recent further trips succeeded, the longer the delay before the next one.
-	if e.Result != Full && e.Result != Moot && !countsAsNoTrip(e.Result) {
+	if e.Result != Full && e.Result != NotSent && !countsAsNoTrip(e.Result) {
 		successShare := (s.succeededFurtherTrips.read(s.now, statisticsWindow) + 1) /
 			(s.furtherTrips.read(s.now, statisticsWindow) + 1)
 		n.notBefore = s.now + n.grade.QuotedTime/16*Millis(1/successShare-1)
@@ -65,9 +65,9 @@
 	return result == TimedOut || result == Reset || result == Cancelled || result == Ambiguous
 }
 
-// countsAsNoTrip reports whether a result counts as no trip, because the call was not sent. Moot, also not
+// countsAsNoTrip reports whether a result counts as no trip, because the call was not sent. NotSent, also not
 // sent, counts as one.
-func countsAsNoTrip(result Result) bool { return result == Short || result == Recalled }
+func countsAsNoTrip(result Result) bool { return result == LocalShortage || result == Recalled }
 
 // pauseForShortage pauses all sending after a call could not be sent because this sender ran short of a
 // resource: a connection, a file descriptor or space in its ledger. That says nothing about the notice or the
@@ -75,7 +75,7 @@
 // handled. So the sender neither retries without end during a shortage, nor waits long after it is over.
 func (s *Sender) pauseForShortage() {
 	if s.shortageUntil <= s.now {
-		s.shortagePause = min(max(2*s.shortagePause, s.settings.Fall/128), s.settings.Fall/4)
+		s.shortagePause = min(max(2*s.shortagePause, s.settings.OverloadTime/128), s.settings.OverloadTime/4)
 		s.shortageUntil = s.now + s.shortagePause
 	}
 }
@@ -88,7 +88,7 @@
 		s.slotsInUse--
 		r.outstanding = slices.DeleteFunc(r.outstanding, func(o *call) bool { return o == c })
 	}
-	s.applyRequestedWait(r, e.Wait)
+	s.applyRequestedWait(r, e.RequestedWait)
 	if c.pendingOutcomes == 0 && e.Result != Recalled && !s.keepsIdleConnection(c.receiver) {
 		s.emit(LetGo{c.receiver.id})
 	}
@@ -99,19 +99,19 @@
 	if !countsAsNoTrip(e.Result) {
 		s.recordConnection(c, e)
 	}
-	if e.LimitTold {
-		r.limitRate, r.limitRemaining = e.LimitRate/1000, e.LimitLeft
+	if e.LimitReported {
+		r.limitRate, r.limitRemaining = e.LimitRate/1000, e.LimitRemaining
 	}
 	switch {
 	case e.Result == Handled:
 		s.shortagePause = 0
 		s.addTokens(c.receiver, 2)
-		s.updateDelayWindow(r, e.Spent)
+		s.updateDelayWindow(r, e.Duration)
 		s.recordSuccess(r, c)
 	case e.Result == Full:
 		s.addTokens(c.receiver, 1)
-		s.recordRefusal(r, c, e.Wait)
-	case e.Result == Moot || e.Result == Ambiguous || countsAsNoTrip(e.Result) ||
+		s.recordRefusal(r, c, e.RequestedWait)
+	case e.Result == NotSent || e.Result == Ambiguous || countsAsNoTrip(e.Result) ||
 		e.Result == Cancelled && !c.cancelled,
 		e.Result == TimedOut && c.timeoutShortened:
 		s.addTokens(c.receiver, 1)
@@ -144,13 +144,13 @@
 // recordSuccess applies a handled call to its route: it may end an outage or close the breaker.
 func (s *Sender) recordSuccess(r *route, c *call) {
 	r.lastResponseAt, r.consecutiveFailures, r.backoff = s.now, 0, 0
-	r.recentHandled.add(s.now, s.settings.Fall, 1)
+	r.recentHandled.add(s.now, s.settings.OverloadTime, 1)
 	r.handledCalls.add(s.now, statisticsWindow, 1)
-	r.limitShare = min(r.limitShare+1/(4*r.limitRate*float64(s.settings.Fall)+1), 1)
+	r.limitShare = min(r.limitShare+1/(4*r.limitRate*float64(s.settings.OverloadTime)+1), 1)
 	// A response to a call that was sent before the last sign of an outage does not show that the outage is
 	// over.
 	if c.sentAt >= r.lastOutageSignAt {
-		if r.outageConfirmed || s.now-r.outageSince >= confirmingOverloadTimes*s.settings.Fall {
+		if r.outageConfirmed || s.now-r.outageSince >= confirmingOverloadTimes*s.settings.OverloadTime {
 			r.recoveredAt, r.outageDuration = s.now, max(s.now-r.outageSince, resetTimeout)
 		}
 		r.outageSince, r.down, r.outageConfirmed = never, false, false
@@ -167,9 +167,9 @@
 // recordFailure applies a failed call to its route: it is a sign of an outage and may open the breaker.
 func (s *Sender) recordFailure(r *route, c *call, result Result) {
 	r.consecutiveFailures++
-	r.recentFailed.add(s.now, s.settings.Fall, 1)
+	r.recentFailed.add(s.now, s.settings.OverloadTime, 1)
 	s.noteOutageSign(r, s.repeatsOutageSign(r, c),
-		r.recentFailed.value >= max(r.recentHandled.read(s.now, s.settings.Fall), 2))
+		r.recentFailed.value >= max(r.recentHandled.read(s.now, s.settings.OverloadTime), 2))
 	if result == Errored {
 		r.lastResponseAt = s.now
 	} else {
@@ -188,7 +188,7 @@
 	r.lastResponseAt = s.now
 	// The pause grows with the number of senders that share a limit, so that together they get below it.
 	destinationKind := r.destination.kind
-	typicalWait := 2 * Millis(destinationKind.waitTotal.value+float64(s.settings.Fall)/4) /
+	typicalWait := 2 * Millis(destinationKind.waitTotal.value+float64(s.settings.OverloadTime)/4) /
 		Millis(destinationKind.waitCount.value+0.5)
 	pause := min(typicalWait, Millis(float64(s.settings.Senders)/r.limitRate))
 	if wait > 0 {
@@ -196,13 +196,13 @@
 		destinationKind.waitCount.add(s.now, statisticsWindow, 1)
 		r.waitUntil = max(r.waitUntil, s.now+wait+pause*Millis(s.random()))
 	} else if c.sentAt >= r.lastReducedAt { // refusals of concurrent calls count as one
-		r.backoff = max(2*r.backoff, pause, s.settings.Fall/16)
+		r.backoff = max(2*r.backoff, pause, s.settings.OverloadTime/16)
 		r.waitUntil = max(r.waitUntil, s.now+r.backoff*Millis(0.5+s.random()))
 	}
 	// A wait that is requested with much of the limit left, or a long one, does not come from the limit: the
 	// destination is unavailable.
 	unavailable := wait > 0 && r.limitRemaining > ampleLimitRemaining ||
-		wait > confirmingOverloadTimes*s.settings.Fall
+		wait > confirmingOverloadTimes*s.settings.OverloadTime
 	s.noteOutageSign(r, false, unavailable || s.repeatsOutageSign(r, c))
 	if c.sentAt < r.lastReducedAt {
 		return
--- a/rules/pace.go
+++ b/rules/pace.go
@@ -7,23 +7,23 @@
 
 // allowedRate returns the rate, in calls per millisecond, at which calls may be sent to a route: this
 // sender's share of the limit, and during and after an outage its part of the capacity of the recovering
-// route, which grows from Settings.ColdFrom to full within Settings.WarmWithin. It also reports whether the
-// route recovers.
+// route, which grows from Settings.ColdCapacity to full within Settings.WarmUpTime. It also reports whether
+// the route recovers.
 func (s *Sender) allowedRate(r *route) (rate float64, recovering bool) {
 	if rate = r.limitShare * r.limitRate; r.limitRate <= 0 {
 		rate = math.Inf(1)
 	}
-	warmth, outage := float64((s.now-r.recoveredAt)/s.settings.WarmWithin), r.outageDuration
+	warmth, outage := float64((s.now-r.recoveredAt)/s.settings.WarmUpTime), r.outageDuration
 	if r.down {
 		warmth, outage = 0, max(s.now, r.waitUntil, r.outageSince+resetTimeout)-r.outageSince
 	}
 	if warmth >= 1 {
 		return rate, false
 	}
-	capacity := s.capacityShare(r, outage) * (s.settings.ColdFrom + (1-s.settings.ColdFrom)*warmth)
+	capacity := s.capacityShare(r, outage) * (s.settings.ColdCapacity + (1-s.settings.ColdCapacity)*warmth)
 	factor := recoveryRateFactor -
 		(recoveryRateFactor-1)*min(1, fewSenders/float64(max(s.settings.Senders, 1)))
-	return min(rate, factor*s.settings.TipMultiple*capacity), true
+	return min(rate, factor*s.settings.OverloadFactor*capacity), true
 }
 
 // capacityShare returns this sender's part, in calls per millisecond, of the capacity that a route has when
@@ -68,6 +68,6 @@
 	at := s.nextCallAt(r)
 	r.pacingStart, r.pacingPhase = s.now, 1
 	if _, recovering := s.allowedRate(r); !recovering {
-		r.pacingStart = max(at, s.now-burstShare*s.settings.Fall)
+		r.pacingStart = max(at, s.now-burstShare*s.settings.OverloadTime)
 	}
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -48,8 +48,8 @@
 	// servedShareScale is how near the earned share of a grade's credit must be to the lowest one of all
 	// grades to weigh like that grade.
 	servedShareScale = 0.2
-	// confirmingOverloadTimes is the number of overload times (Settings.Fall) without a success after which
-	// an outage is confirmed.
+	// confirmingOverloadTimes is the number of overload times (Settings.OverloadTime) without a success after
+	// which an outage is confirmed.
 	confirmingOverloadTimes = 2.0
 	// burstShare is the share of an overload time for which unused calls under a limit may be caught up.
 	burstShare = 0.25
@@ -65,7 +65,7 @@
 	ampleLimitRemaining = 0.5
 	// idleLossFactor multiplies the share of calls lost on other connections; see excessLossShare.
 	idleLossFactor = 3.0
-	// keepIdleCalls is the number of calls within Settings.IdleKept that make an idle connection worth
+	// keepIdleCalls is the number of calls within Settings.IdleTimeout that make an idle connection worth
 	// keeping.
 	keepIdleCalls = 1.5
 	// keepIdleCallsPerSender is the same number for each sender of the deployment, where connections are
@@ -91,7 +91,7 @@
 	s := newSender(seed, settings)
 	s.maxTokens = max(math.Ceil(tokenShare*float64(settings.Slots)), 2)
 	s.maxSuspectSlots = max(int(suspectSlotShare*float64(settings.Slots)), 1)
-	if settings.ListOnAsk {
+	if settings.WatchOnRequest {
 		s.watchListAt = 0
 	}
 	return s
@@ -103,28 +103,28 @@
 	s.now, s.actions, s.newCalls, s.turnNumber = now, nil, nil, s.turnNumber+1
 	for _, e := range events {
 		switch e := e.(type) {
-		case NoticeTaken:
+		case NoticeAccepted:
 			s.acceptNotice(e)
 		case TripEnded:
 			s.endTrip(e)
-		case WaitTold:
+		case WaitRequested:
 			if rc := s.receivers[e.Receiver]; rc != nil {
 				s.applyRequestedWait(rc.route, e.Wait)
 			}
 		case OutcomeConfirmed:
 			s.confirmOutcome(e)
-		case OutcomeDoubted:
+		case OutcomeRetracted:
 			s.retractOutcome(e)
-		case SurplusHeard:
+		case UnsolicitedBytes:
 			s.handleUnsolicitedBytes(e)
 		case NoticeWithdrawn:
 			if n := s.notices[e.Notice]; n != nil {
 				s.releaseNotice(n)
 			}
-		case ListTold:
+		case ListUpdated:
 			s.updateList(e)
 		case ListFailed:
-			s.watchListAt = s.now + s.settings.AskWithin/16*Millis(1+s.random())
+			s.watchListAt = s.now + s.settings.RewatchWithin/16*Millis(1+s.random())
 		}
 	}
 	if s.now >= s.watchListAt {
@@ -145,8 +145,8 @@
 func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
 // updateList applies entries of the receiver list. Receivers that are missing from a whole list are gone.
-func (s *Sender) updateList(e ListTold) {
-	if e.Whole {
+func (s *Sender) updateList(e ListUpdated) {
+	if e.Complete {
 		for _, rc := range s.receivers {
 			rc.status = Gone
 		}
@@ -154,12 +154,12 @@
 	for _, entry := range e.Entries {
 		rc := s.receivers[entry.Receiver]
 		switch {
-		case rc == nil && entry.Standing == Gone:
+		case rc == nil && entry.Status == Gone:
 			continue
 		case rc == nil:
 			rc = s.addReceiver(entry, max(float64(s.settings.Slots)/2, 1))
 		}
-		if rc.status = entry.Standing; s.settings.ListedError >= 0 && rc.status != Gone {
+		if rc.status = entry.Status; s.settings.ListedError >= 0 && rc.status != Gone {
 			rc.route.listedRate = entry.ListedRate / 1000 / (1 + s.settings.ListedError)
 		}
 	}
--- a/rules/same_test.go
+++ b/rules/same_test.go
@@ -44,17 +44,17 @@
 func digestDecisions(seed uint64, destinations, slots, hold, turns int) (digests []string) {
 	random := rand.New(rand.NewPCG(seed, 9))
 	settings := testSettings()
-	settings.CallOff, settings.Slots, settings.HoldLimit, settings.TripLimit = true, slots, hold, 6
-	settings.HalvesLate = seed%2 == 1
+	settings.CancelTrips, settings.Slots, settings.HoldLimit, settings.TripLimit = true, slots, hold, 6
+	settings.LateCreditHalves = seed%2 == 1
 	settings.Quotas = []float64{20, 50}
 	var list []Entry
 	for id := range ReceiverID(2 * destinations) {
 		list = append(list, Entry{Receiver: id, Destination: DestinationID(id / 2),
 			Kind: KindID(id / 2 % 7 / 6), Zone: ZoneID(id % 2),
-			Standing: Ready, ListedRate: float64(random.IntN(20))})
+			Status: Ready, ListedRate: float64(random.IntN(20))})
 	}
 	sender := New(seed, settings)
-	sender.Decide(0, []Event{ListTold{Whole: true, Entries: list}})
+	sender.Decide(0, []Event{ListUpdated{Complete: true, Entries: list}})
 	type outstandingTrip struct {
 		Send
 		sentAt, endsAt Millis
@@ -71,12 +71,12 @@
 		var events []Event
 		for range random.IntN(2 + destinations/8) {
 			lastNotice++
-			n := NoticeTaken{Notice: lastNotice, Grade: GradeID(random.IntN(4)),
+			n := NoticeAccepted{Notice: lastNotice, Grade: GradeID(random.IntN(4)),
 				Portfolio: PortfolioID(random.IntN(3)), Key: KeyID(random.IntN(30)),
 				Destination: DestinationID(random.IntN(destinations)),
-				Left:        Millis(1000 + random.IntN(9000)), Inherited: random.IntN(30) == 0}
+				TimeLeft:    Millis(1000 + random.IntN(9000)), Inherited: random.IntN(30) == 0}
 			if random.IntN(40) == 0 {
-				n.Trips, n.Ran, n.RanAgo = 2, 1, 500
+				n.Trips, n.PossibleRuns, n.FirstRunAgo = 2, 1, 500
 			}
 			destinationOf[lastNotice] = n.Destination
 			events = append(events, n)
@@ -92,20 +92,20 @@
 				continue
 			}
 			e := TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: trip.result,
-				Spent: now - trip.sentAt}
-			e.LimitTold, e.LimitLeft, e.LimitRate = random.IntN(2) > 0, random.Float64(),
+				Duration: now - trip.sentAt}
+			e.LimitReported, e.LimitRemaining, e.LimitRate = random.IntN(2) > 0, random.Float64(),
 				float64(random.IntN(30))
 			if trip.result == Full && random.IntN(2) == 0 {
-				e.Wait = Millis(random.IntN(900))
+				e.RequestedWait = Millis(random.IntN(900))
 			}
-			e.Over = trip.result == Handled
+			e.NoticeEnded = trip.result == Handled
 			events = append(events, e)
 		}
 		outstanding = remaining
 		if random.IntN(60) == 0 {
 			entry := &list[random.IntN(len(list))]
-			entry.Standing = Standing(random.IntN(3))
-			events = append(events, ListTold{Entries: []Entry{*entry}})
+			entry.Status = ReceiverStatus(random.IntN(3))
+			events = append(events, ListUpdated{Entries: []Entry{*entry}})
 		}
 		for _, a := range sender.Decide(now, events) {
 			fmt.Fprintf(hash, "%.3f %T %+v\n", now, a, a)
@@ -160,29 +160,29 @@
 	sender := New(1, settings)
 	var list []Entry
 	for id := range ReceiverID(destinations) {
-		list = append(list, Entry{Receiver: id, Destination: DestinationID(id), Standing: Ready})
+		list = append(list, Entry{Receiver: id, Destination: DestinationID(id), Status: Ready})
 	}
 	now := Millis(0)
-	sender.Decide(now, []Event{ListTold{Whole: true, Entries: list}})
+	sender.Decide(now, []Event{ListUpdated{Complete: true, Entries: list}})
 	lastNotice := NoticeID(0)
 	for d := range unavailable {
 		sender.destinations[DestinationID(d)].routes[0].waitUntil = 1e8
 	}
 	for i := range held {
 		lastNotice++
-		sender.Decide(now, []Event{NoticeTaken{Notice: lastNotice,
-			Destination: DestinationID(i % unavailable), Left: 1e9}})
+		sender.Decide(now, []Event{NoticeAccepted{Notice: lastNotice,
+			Destination: DestinationID(i % unavailable), TimeLeft: 1e9}})
 	}
 	for b.Loop() {
 		lastNotice++
 		now += 0.2
 		d := DestinationID(unavailable + int(lastNotice)%(destinations-unavailable))
-		for _, a := range sender.Decide(now, []Event{NoticeTaken{Notice: lastNotice, Destination: d,
-			Left: 20_000}}) {
+		for _, a := range sender.Decide(now, []Event{NoticeAccepted{Notice: lastNotice, Destination: d,
+			TimeLeft: 20_000}}) {
 			if send, ok := a.(Send); ok {
 				now += 0.2
 				sender.Decide(now, []Event{TripEnded{Notice: send.Notice, Receiver: send.Receiver,
-					Result: Handled, Spent: 1, Over: true}})
+					Result: Handled, Duration: 1, NoticeEnded: true}})
 			}
 		}
 	}
--- a/rules/serve.go
+++ b/rules/serve.go
@@ -73,7 +73,7 @@
 	if slowCalls > 1 && 4*slowCalls >= s.settings.Slots {
 		mostOverdue = slowest
 	}
-	if mostOverdue == nil || !s.settings.CallOff {
+	if mostOverdue == nil || !s.settings.CancelTrips {
 		return
 	}
 	mostOverdue.cancelled = true
@@ -137,10 +137,10 @@
 		s.newCalls = append(s.newCalls, c)
 		s.slotsInUse++
 		rc.tokens--
-		rc.recentCalls.add(s.now, s.settings.IdleKept, 1)
+		rc.recentCalls.add(s.now, s.settings.IdleTimeout, 1)
 		s.advancePace(r)
 		hasCallOut := slices.ContainsFunc(r.outstanding, func(o *call) bool { return o.receiver == rc })
-		c.onIdleConnection = hasCallOut || s.now-rc.lastResponseAt > s.settings.Fall/4
+		c.onIdleConnection = hasCallOut || s.now-rc.lastResponseAt > s.settings.OverloadTime/4
 		if c.onIdleConnection && s.distrustsIdleConnections() {
 			c.onIdleConnection = false
 			s.emit(LetGo{rc.id})
@@ -192,7 +192,7 @@
 		if earliest > s.now {
 			continue
 		}
-		next = min(next, s.now+s.settings.Fall/4) // a recovery raises the rate, and tokens refill
+		next = min(next, s.now+s.settings.OverloadTime/4) // a recovery raises the rate, and tokens refill
 		for _, r := range d.routes {
 			if at := s.nextCallAt(r); at > s.now {
 				next = min(next, at)
@@ -200,7 +200,7 @@
 		}
 	}
 	if s.slotsInUse > 0 {
-		next = min(next, s.now+s.settings.Fall/8)
+		next = min(next, s.now+s.settings.OverloadTime/8)
 	}
 	if s.timerAt < s.now+s.settings.Tick/2 { // it is due: the caller may round times down
 		s.timerAt = never
--- a/rules/stall_test.go
+++ b/rules/stall_test.go
@@ -9,7 +9,7 @@
 // settingsWithPause returns testSettings with longestPause.
 func settingsWithPause() Settings {
 	settings := testSettings()
-	settings.Stall = longestPause
+	settings.MaxPause = longestPause
 	return settings
 }
 
@@ -19,9 +19,9 @@
 	rememberedFor := testSettings().Grades[1].RemembersFor
 	for wait := rememberedFor - 2*longestPause; wait < rememberedFor+longestPause; wait += 10 {
 		trace := &decisionTrace{sender: New(1, settingsWithPause())}
-		trace.runTurn(ListTold{Whole: true, Entries: []Entry{entry(1, 1)}})
-		trace.accept(1, NoticeTaken{Destination: 1, Grade: 1})
-		trace.runTurn(WaitTold{Receiver: 1, Wait: wait})
+		trace.runTurn(ListUpdated{Complete: true, Entries: []Entry{entry(1, 1)}})
+		trace.accept(1, NoticeAccepted{Destination: 1, Grade: 1})
+		trace.runTurn(WaitRequested{Receiver: 1, Wait: wait})
 		trace.endTrip(Errored)
 		trace.advance(rememberedFor - 2*longestPause)
 		for len(trace.outstanding) == 0 && trace.now < 2*rememberedFor {
--- a/rules/state.go
+++ b/rules/state.go
@@ -65,7 +65,7 @@
 	id              ReceiverID
 	route           *route
 	zone            ZoneID
-	status          Standing
+	status          ReceiverStatus
 	fee             float64 // of a call to its zone
 	tokens          float64 // a call takes one; responses and time refill them
 	tokensUpdatedAt Millis
@@ -307,7 +307,7 @@
 	if int(entry.Kind) < len(s.kinds) {
 		d.kind = s.kinds[entry.Kind]
 	}
-	if len(d.routes) == 0 || d.kind.Apart {
+	if len(d.routes) == 0 || d.kind.SeparateRoutes {
 		s.routesCreated++
 		created := &route{id: entry.Receiver, destination: d, state: closed, delayWindow: initialWindow,
 			limitShare: 1, outageSince: never, recoveredAt: -never,
@@ -317,7 +317,7 @@
 	}
 	rc := &receiver{id: entry.Receiver, zone: entry.Zone, tokens: s.maxTokens, tokensUpdatedAt: s.now,
 		tieBreak: s.random(), failuresByGrade: map[*grade]*decayingSum{}}
-	if d.kind.Apart && int(entry.Zone) < len(s.settings.ZoneFees) {
+	if d.kind.SeparateRoutes && int(entry.Zone) < len(s.settings.ZoneFees) {
 		rc.fee = s.settings.ZoneFees[entry.Zone]
 	}
 	if !slices.Contains(d.zones, entry.Zone) {
@@ -504,7 +504,7 @@
 	if s.now < s.cleanUpAt {
 		return
 	}
-	s.cleanUpAt = s.now + s.settings.Fall
+	s.cleanUpAt = s.now + s.settings.OverloadTime
 	s.routes = slices.DeleteFunc(s.routes, func(r *route) bool {
 		r.receivers = slices.DeleteFunc(r.receivers, func(rc *receiver) bool {
 			if rc.status != Gone || s.now < rc.route.requestedWaitUntil ||
@@ -542,7 +542,7 @@
 		return 0
 	case at <= n.quotedUntil:
 		return n.credit
-	case s.settings.HalvesLate:
+	case s.settings.LateCreditHalves:
 		quotedTimes := float64((at - n.quotedUntil) / n.grade.QuotedTime)
 		return n.credit * max(n.grade.LateShare, math.Exp2(-quotedTimes))
 	default:
--- a/rules/trace_test.go
+++ b/rules/trace_test.go
@@ -35,10 +35,11 @@
 				ZoneOnly: true, RemembersFor: 6000, InOrder: true},
 			{QuotedTime: 2000, ClientTimeout: 20_000, Credit: 3, LateShare: 0.5, Repeat: AtMostOnce},
 		},
-		Kinds: []Kind{{PerCall: 1}, {PerCall: 3, Apart: true}}, ZoneFees: []float64{0, 0.1},
-		Senders: 2, Slots: 8, HoldLimit: 100, TripLimit: 4, Tick: 5, RetryAfter: true, RetryMost: 3000,
-		ListedError: 0, ColdFrom: 0.2, WarmWithin: 10_000, TipMultiple: 2, Fall: 2000, KeyRest: 300,
-		IdleKept: 10_000,
+		Kinds: []Kind{{PerCall: 1}, {PerCall: 3, SeparateRoutes: true}}, ZoneFees: []float64{0, 0.1},
+		Senders: 2, Slots: 8, HoldLimit: 100, TripLimit: 4, Tick: 5, RetryAfter: true, MaxRetryAfter: 3000,
+		ListedError: 0, ColdCapacity: 0.2, WarmUpTime: 10_000, OverloadFactor: 2, OverloadTime: 2000,
+		KeyCooldown: 300,
+		IdleTimeout: 10_000,
 	}
 }
 
@@ -52,14 +53,14 @@
 // startTrace starts a trace with the given receiver list. It is compared with its file when the test ends.
 func startTrace(t *testing.T, settings Settings, entries ...Entry) *decisionTrace {
 	trace := &decisionTrace{sender: New(0x9E3779B97F4A7C15, settings)}
-	trace.runTurn(ListTold{Whole: true, Entries: entries})
+	trace.runTurn(ListUpdated{Complete: true, Entries: entries})
 	t.Cleanup(func() { trace.compareWithFile(t) })
 	return trace
 }
 
 // entry returns the list entry of a receiver that accepts calls.
 func entry(id ReceiverID, destination DestinationID) Entry {
-	return Entry{Receiver: id, Destination: destination, Standing: Ready, ListedRate: 20}
+	return Entry{Receiver: id, Destination: destination, Status: Ready, ListedRate: 20}
 }
 
 // runTurn passes events to the sender and records its decisions.
@@ -109,13 +110,13 @@
 
 // accept reports in one turn that a number of notices like n were accepted, each with an id of its own. The
 // time left until their client timeout is 20 s unless n sets it.
-func (trace *decisionTrace) accept(count int, n NoticeTaken) {
+func (trace *decisionTrace) accept(count int, n NoticeAccepted) {
 	var events []Event
 	for range count {
 		trace.lastNotice++
 		n.Notice = trace.lastNotice
-		if n.Left == 0 {
-			n.Left = 20_000
+		if n.TimeLeft == 0 {
+			n.TimeLeft = 20_000
 		}
 		events = append(events, n)
 	}
@@ -139,8 +140,8 @@
 	}
 	trip := trace.outstanding[0]
 	trace.outstanding = trace.outstanding[1:]
-	e := TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: result, Spent: 100,
-		Over: result == Handled}
+	e := TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: result, Duration: 100,
+		NoticeEnded: result == Handled}
 	for _, option := range options {
 		option(&e)
 	}
@@ -150,11 +151,13 @@
 // reportLimit is an option of endTrip: the response reports a limit in calls per second, and the share of it
 // that is left.
 func reportLimit(rate, left float64) func(*TripEnded) {
-	return func(e *TripEnded) { e.LimitTold, e.LimitRate, e.LimitLeft = true, rate, left }
+	return func(e *TripEnded) { e.LimitReported, e.LimitRate, e.LimitRemaining = true, rate, left }
 }
 
 // requestWait is an option of endTrip: the receiver requests a wait.
-func requestWait(duration Millis) func(*TripEnded) { return func(e *TripEnded) { e.Wait = duration } }
+func requestWait(duration Millis) func(*TripEnded) {
+	return func(e *TripEnded) { e.RequestedWait = duration }
+}
 
 // advance lets a duration pass, with a turn at each tick.
 func (trace *decisionTrace) advance(duration Millis) {
--- a/rules/waits.go
+++ b/rules/waits.go
@@ -7,9 +7,9 @@
 	r.requestedWaitUntil = max(r.requestedWaitUntil, s.now+wait)
 }
 
-// WaitLeft returns the rest, at the given time, of the wait that the route of a receiver requested: its
+// RemainingWait returns the rest, at the given time, of the wait that the route of a receiver requested: its
 // destination, or the receiver itself where receivers are separate routes. It is 0 when the wait is over.
-func (s *Sender) WaitLeft(receiver ReceiverID, now Millis) Millis {
+func (s *Sender) RemainingWait(receiver ReceiverID, now Millis) Millis {
 	if rc := s.receivers[receiver]; rc != nil {
 		return max(rc.route.requestedWaitUntil-now, 0)
 	}
--- a/rules/windows.go
+++ b/rules/windows.go
@@ -7,7 +7,7 @@
 // back, and a success gives back one more, which a failed call lost. Tokens that stay lost are refilled one
 // per overload time.
 func (s *Sender) addTokens(rc *receiver, tokens float64) float64 {
-	tokens += float64((s.now - rc.tokensUpdatedAt) / s.settings.Fall)
+	tokens += float64((s.now - rc.tokensUpdatedAt) / s.settings.OverloadTime)
 	rc.tokens, rc.tokensUpdatedAt = min(rc.tokens+tokens, s.maxTokens), s.now
 	return rc.tokens
 }
@@ -15,8 +15,8 @@
 // updateDelayWindow adds the delay of a handled call to the means and adjusts the delay window: it grows
 // while it is well used and the mean delay is near the best one, and shrinks while the route is slow.
 func (s *Sender) updateDelayWindow(r *route, delay Millis) {
-	r.meanDelay = r.delays.add(s.now, s.settings.Fall, delay)
-	s.meanDelay = s.delays.add(s.now, s.settings.Fall, delay)
+	r.meanDelay = r.delays.add(s.now, s.settings.OverloadTime, delay)
+	s.meanDelay = s.delays.add(s.now, s.settings.OverloadTime, delay)
 	if r.bestDelay == 0 || r.meanDelay < r.bestDelay {
 		r.bestDelay = r.meanDelay
 	}
