--- a/cmd/chutelab/standin.go
+++ b/cmd/chutelab/standin.go
@@ -14,13 +14,14 @@
 	"github.com/spf13/cobra"
 )
 
+// standinCommand returns the group of commands that run stand-ins for senders started by the user.
 func standinCommand() *cobra.Command {
 	group := &cobra.Command{Use: "standin", Short: "Run stand-in gateways or a stand-in platform", Args: cli.Args(cobra.NoArgs), RunE: cli.Help}
 	group.AddCommand(standinGateway(), standinPlatform())
 	return group
 }
 
-// stage lays out a scenario for senders that somebody else runs.
+// newEnvironment loads a scenario and creates its test environment and gateways, for senders that the user runs.
 func stage(name string) (*standin.Stage, *standin.Gateways, error) {
 	s, err := scenario.Load(name)
 	if err != nil {
@@ -36,7 +37,8 @@
 	return st, g, nil
 }
 
-// watch tells what arrives until the command is ended.
+// watch starts the scenario's clock and waits for an interrupt, upon which it prints a summary of the calls. With verbose
+// it also prints each call.
 func watch(c *cobra.Command, st *standin.Stage, verbose bool) {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
@@ -55,7 +57,7 @@
 					delivered++
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "calls %d, took effect %d, answered 200 %d; ends told %d\n", len(v.Calls), ran, delivered, len(v.Ends))
+			fmt.Fprintf(c.OutOrStdout(), "calls %d, took effect %d, answered 200 %d; outcomes reported %d\n", len(v.Calls), ran, delivered, len(v.Ends))
 			return
 		case <-time.After(200 * time.Millisecond):
 		}
@@ -71,13 +73,14 @@
 	}
 }
 
+// standinGateway returns the command that runs one gateway.
 func standinGateway() *cobra.Command {
 	var name, listen string
 	var verbose bool
 	c := &cobra.Command{
-		Use: "gateway", Short: "Run a scenario's first destination at an address", Args: cli.Args(cobra.NoArgs),
-		Long: `gateway runs one receiver of a scenario's first destination, with its limit, times and faults, until it is ended.
-Faults count from its start.`,
+		Use: "gateway", Short: "Run the gateway of a scenario's first destination at an address", Args: cli.Args(cobra.NoArgs),
+		Long: `gateway runs one receiver of a scenario's first destination, with its limit, response times and faults, until it is
+interrupted. Faults are timed from its start.`,
 		Example: "  chuteweir standin gateway --listen 127.0.0.1:9000 --verbose",
 		RunE: func(c *cobra.Command, _ []string) error {
 			st, g, err := stage(name)
@@ -88,24 +91,25 @@
 			if err := g.OpenAt("gateway", 1, listen); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "a gateway takes calls at %s\n", listen)
+			fmt.Fprintf(c.OutOrStdout(), "gateway listening at %s\n", listen)
 			watch(c, st, verbose)
 			return nil
 		},
 	}
-	c.Flags().StringVar(&name, "scenario", "calm", "a scenario's file, or the name of one that comes with the program")
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:9000", "where it takes calls")
-	c.Flags().BoolVar(&verbose, "verbose", false, "tell each call")
+	c.Flags().StringVar(&name, "scenario", "calm", "a scenario file, or the name of a built-in scenario")
+	c.Flags().StringVar(&listen, "listen", "127.0.0.1:9000", "the address at which the gateway accepts calls")
+	c.Flags().BoolVar(&verbose, "verbose", false, "print each call")
 	return c
 }
 
+// standinPlatform returns the command that runs the platform and all gateways of a scenario.
 func standinPlatform() *cobra.Command {
 	var name, listen, write, serve, state string
 	var verbose bool
 	c := &cobra.Command{
 		Use: "platform", Short: "Run a platform with all of a scenario's gateways", Args: cli.Args(cobra.NoArgs),
-		Long: `platform runs a platform at an address and all gateways of a scenario on free ports, until it is ended. With
---write it writes the configuration of a sender that serves among them.`,
+		Long: `platform runs a platform at an address and all gateways of a scenario on unused ports, until it is interrupted. With
+--write it writes the configuration of a sender that uses this platform and these gateways.`,
 		Example: `  chuteweir standin platform --listen 127.0.0.1:8500 --write sender.toml
   chuteweir serve sender.toml`,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -126,20 +130,20 @@
 				sender := config.Config{Name: "n0", Listen: serve, Discovery: listen, State: state, Drawn: true, Format: "text", Level: "info",
 					Machine: w.Machine, Settings: w.Settings, Names: w.Names}
 				if err := os.WriteFile(write, sender.TOML(), 0o644); err != nil {
-					return fmt.Errorf("writing a sender's configuration: %w", err)
+					return fmt.Errorf("writing the sender's configuration: %w", err)
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "a platform answers at %s, with %d destinations\n", listen, len(st.World.Destinations))
+			fmt.Fprintf(c.OutOrStdout(), "platform listening at %s, with %d destinations\n", listen, len(st.World.Destinations))
 			watch(c, st, verbose)
 			return nil
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&name, "scenario", "calm", "a scenario's file, or the name of one that comes with the program")
-	f.StringVar(&listen, "listen", "127.0.0.1:8500", "where the platform answers")
+	f.StringVar(&name, "scenario", "calm", "a scenario file, or the name of a built-in scenario")
+	f.StringVar(&listen, "listen", "127.0.0.1:8500", "the address at which the platform listens")
 	f.StringVar(&write, "write", "", "write a sender's configuration to this file")
-	f.StringVar(&serve, "serve", "127.0.0.1:8443", "with --write: where that sender serves")
-	f.StringVar(&state, "state", "state", "with --write: its lasting folder")
-	f.BoolVar(&verbose, "verbose", false, "tell each call")
+	f.StringVar(&serve, "serve", "127.0.0.1:8443", "with --write: the address at which that sender listens")
+	f.StringVar(&state, "state", "state", "with --write: the state directory of that sender")
+	f.BoolVar(&verbose, "verbose", false, "print each call")
 	return c
 }
