--- a/cmd/chutelab/sick.go
+++ b/cmd/chutelab/sick.go
@@ -20,7 +20,7 @@
 	"github.com/spf13/cobra"
 )
 
-// sickness is what the command is asked for.
+// sickOptions holds the flags of the sick command. A size of 0 leaves the scenario's own.
 type sickness struct {
 	only                         []string
 	slots, destinations, sockets int
@@ -31,14 +31,15 @@
 	relay                        bool
 }
 
+// sickCommand returns the command that measures the effect of failing destinations on healthy ones.
 func sickCommand() *cobra.Command {
 	var s sickness
 	c := &cobra.Command{
-		Use: "sick", Short: "Measure what sick destinations take from healthy ones", Args: cli.Args(cobra.NoArgs),
-		Long: `sick plays the scenarios in which a part of the destinations is sick (try --list, those that begin with sick-), and each
-of them with the same seed and no trouble. It tells what notices for the destinations that are well came to in both, how
-many slots the sick held, and how many further calls were made; with --relay also what the plain relay makes of it. It
-fails if a rule was broken.`,
+		Use: "sick", Short: "Measure the effect of failing destinations on healthy ones", Args: cli.Args(cobra.NoArgs),
+		Long: `sick runs the scenarios in which some destinations fail (those of try --list whose names begin with sick-), and each of
+them again with the same seed and without faults. It compares the notices to the healthy destinations of both runs and
+reports the share of slots that calls to the failing destinations held, and the number of calls beyond each notice's
+first. With --relay it runs the plain relay on the same scenarios too. It fails if a run broke a rule.`,
 		Example: `  chuteweir sick
   chuteweir sick --only sick-half-hang,sick-restart --relay
   chuteweir sick --slots 4 --destinations 4 --rate 40
@@ -46,11 +47,11 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			for _, name := range s.only {
 				if !slices.Contains(scenario.SickSet(), name) {
-					return cli.Misused("--only %s: one of %s", name, strings.Join(scenario.SickSet(), ", "))
+					return cli.Misused("--only %s: must be one of %s", name, strings.Join(scenario.SickSet(), ", "))
 				}
 			}
 			if s.slots < 0 || s.destinations < 0 || s.rate < 0 || s.parallel < 1 {
-				return cli.Misused("--slots, --destinations and --rate can't be below 0, --parallel not below 1")
+				return cli.Misused("--slots, --destinations and --rate must be at least 0, --parallel at least 1")
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -58,21 +59,22 @@
 		},
 	}
 	f := c.Flags()
-	f.StringSliceVar(&s.only, "only", nil, "only these scenarios")
-	f.IntVar(&s.slots, "slots", 0, "calls out at once, in place of the scenarios' 40")
-	f.IntVar(&s.destinations, "destinations", 0, "destinations, in place of the scenarios' 40")
-	f.IntVar(&s.sockets, "sockets", 0, "descriptors that the sender is told it has, in place of the scenarios' 1024")
+	f.StringSliceVar(&s.only, "only", nil, "run only these scenarios")
+	f.IntVar(&s.slots, "slots", 0, "maximum of outstanding calls, in place of the scenarios' 40")
+	f.IntVar(&s.destinations, "destinations", 0, "number of destinations, in place of the scenarios' 40")
+	f.IntVar(&s.sockets, "sockets", 0, "the sender's limit of file descriptors, in place of the scenarios' 1024")
 	f.Float64Var(&s.rate, "rate", 0, "notices a second, in place of the scenarios' 400")
-	f.Uint64Var(&s.seed, "seed", 1, "of all chance")
-	f.IntVar(&s.parallel, "parallel", 1, "runs at a time")
-	f.BoolVar(&s.relay, "relay", false, "run the plain relay beside")
-	f.StringVar(&s.program, "program", "", "the sender's program; else the one beside this")
-	f.StringVar(&s.out, "out", "", "a folder for the table and charts")
-	f.StringVar(&s.name, "name", "sick", "with --out: the name of their files")
+	f.Uint64Var(&s.seed, "seed", 1, "seed of all random numbers")
+	f.IntVar(&s.parallel, "parallel", 1, "number of runs at a time")
+	f.BoolVar(&s.relay, "relay", false, "run the plain relay too, as the baseline")
+	f.StringVar(&s.program, "program", "", "the sender's program; by default the one in the folder of this program")
+	f.StringVar(&s.out, "out", "", "the folder to write the table and charts to")
+	f.StringVar(&s.name, "name", "sick", "with --out: the name of these files, without extension")
 	return c
 }
 
-// sickCase is one scenario with all that was made of it.
+// sickCase holds the results of one scenario: calm without its faults, hit with them, and relay with them but with the
+// plain relay in place of the sender. trouble and baseline are the effects of the faults in hit and in relay.
 type sickCase struct {
 	name              string
 	calm, hit, relay  *trial.Result
@@ -82,7 +84,7 @@
 func (s *sickness) run(ctx context.Context, out io.Writer) error {
 	program, err := sender(s.program)
 	if err != nil {
-		return fmt.Errorf("no sender to try: %w", err)
+		return fmt.Errorf("finding the sender's program: %w", err)
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// scale puts the sizes asked for in place of a scenario's own.
+// scale replaces the sizes of a scenario by those that the flags give.
 func (s *sickness) scale(sc *scenario.Scenario) {
 	sc.Seed = s.seed
 	if s.slots > 0 {
@@ -164,7 +166,7 @@
 		sc.Machine.MemoryMB = max(sc.Machine.MemoryMB, int(s.rate))
 	}
 	if s.destinations > 0 {
-		// Groups keep their parts of each other.
+		// The sizes of the groups keep their proportions.
 		all := 0
 		for _, g := range sc.Groups {
 			all += g.Destinations
@@ -172,7 +174,7 @@
 		for i := range sc.Groups {
 			g := &sc.Groups[i]
 			if len(sc.Groups) > 1 && g.Destinations == 1 {
-				g.Weight *= float64(s.destinations) / float64(all) // one against all others
+				g.Weight *= float64(s.destinations) / float64(all) // a single destination keeps its share of the traffic
 				continue
 			}
 			g.Destinations = max(g.Destinations*s.destinations/all, 1)
@@ -183,8 +185,8 @@
 func (s *sickness) table(cases []*sickCase) string {
 	var b strings.Builder
 	w := cases[0].hit.World
-	fmt.Fprintf(&b, "%.0f notices a second, some %d destinations, %d slots, seed %d; sick from 1 to 6 s of 8; figures of destinations that are well,\n"+
-		"against the same seed with no trouble\n\n", w.Traffic.Rate, len(w.Destinations), w.Settings.Slots, w.Seed)
+	fmt.Fprintf(&b, "%.0f notices a second, about %d destinations, %d slots, seed %d; faults from 1 to 6 s of 8; figures of healthy destinations,\n"+
+		"compared with a run of the same seed without faults (calm)\n\n", w.Traffic.Rate, len(w.Destinations), w.Settings.Slots, w.Seed)
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "scenario\tnotices\tcredit\tof calm\tp99 ms\tof calm\tslots of the sick\tfurther\tload of the sick\tCPU of calm\trules")
 	if s.relay {
@@ -207,14 +209,15 @@
 	}
 	t.Flush()
 	fmt.Fprint(&b, `
-slots of the sick: the most of all slots that calls to them held at once. further: calls for a notice beyond its first that a
-gateway saw, for each notice wanted. load of the sick: the most calls in half a second that reached them, for each notice wanted
-of them in that time in the mean; their own backlog is among it.
+slots of the sick: the highest share of all slots that calls to failing destinations held at once. further: calls beyond each
+notice's first that a gateway saw, divided by the number of wanted notices. load of the sick: the highest number of calls that
+reached failing destinations within half a second, divided by the mean number of their wanted notices in that time; calls for
+their backlog count too.
 `)
 	return b.String()
 }
 
-// ratio is a/b, or a dash where there is no b.
+// ratio formats a/b, or a dash if b is 0.
 func ratio(a, b float64) string {
 	if b == 0 {
 		return "-"
@@ -222,10 +225,10 @@
 	return fmt.Sprintf("%.2f", a/b)
 }
 
-// keep writes the table and the charts of slots and load over time.
+// writeFiles writes the table and the charts of slots and load over time to the folder of --out.
 func (s *sickness) keep(table string, cases []*sickCase) error {
 	if err := os.MkdirAll(s.out, 0o755); err != nil {
-		return fmt.Errorf("keeping the results: %w", err)
+		return fmt.Errorf("creating the folder for the results: %w", err)
 	}
 	slots := chart.Chart{Title: "Slots held by sick destinations", X: "s", Y: "share of all slots", Least: 0, Most: 1,
 		Bands: []chart.Band{{Name: "sick", From: 1, To: 6}}}
