--- a/cmd/chutelab/sick.go
+++ b/cmd/chutelab/sick.go
@@ -21,7 +21,7 @@
 )
 
 // sickOptions holds the flags of the sick command. A size of 0 leaves the scenario's own.
-type sickness struct {
+type sickOptions struct {
 	only                         []string
 	slots, destinations, sockets int
 	rate                         float64
@@ -33,12 +33,12 @@
 
 // sickCommand returns the command that measures the effect of failing destinations on healthy ones.
 func sickCommand() *cobra.Command {
-	var s sickness
+	var s sickOptions
 	c := &cobra.Command{
 		Use: "sick", Short: "Measure the effect of failing destinations on healthy ones", Args: cli.Args(cobra.NoArgs),
-		Long: `sick runs the scenarios in which some destinations fail (those of try --list whose names begin with sick-), and each of
-them again with the same seed and without faults. It compares the notices to the healthy destinations of both runs and
-reports the share of slots that calls to the failing destinations held, and the number of calls beyond each notice's
+		Long: `sick runs the scenarios in which some destinations fail (in try --list, those that begin with sick-), and each
+of them again with the same seed and without faults. It compares the notices to the healthy destinations of both runs
+and reports the share of slots that calls to the failing destinations held, and the number of calls beyond each notice's
 first. With --relay it runs the plain relay on the same scenarios too. It fails if a run broke a rule.`,
 		Example: `  chuteweir sick
   chuteweir sick --only sick-half-hang,sick-restart --relay
@@ -81,7 +81,9 @@
 	trouble, baseline trial.Trouble
 }
 
-func (s *sickness) run(ctx context.Context, out io.Writer) error {
+// run runs the chosen scenarios, prints the table and writes the files of --out. It returns an error if a run broke a
+// rule.
+func (s *sickOptions) run(ctx context.Context, out io.Writer) error {
 	program, err := sender(s.program)
 	if err != nil {
 		return fmt.Errorf("finding the sender's program: %w", err)
@@ -96,7 +98,7 @@
 	}
 	var cases []*sickCase
 	var runs []func() (*trial.Result, error)
-	var put []func(*trial.Result)
+	var storeResults []func(*trial.Result)
 	for _, name := range names {
 		c := &sickCase{name: name}
 		cases = append(cases, c)
@@ -111,7 +113,7 @@
 			runs = append(runs, func() (*trial.Result, error) {
 				return trial.Run(ctx, trial.Options{Scenario: sc, Start: start, Sick: isSick})
 			})
-			put = append(put, to)
+			storeResults = append(storeResults, to)
 		}
 		serve := trial.Serve(program, "info")
 		play(hit.Well(), serve, func(r *trial.Result) { c.calm = r })
@@ -122,7 +124,7 @@
 	}
 	done := 0
 	err = runParallel(len(runs), s.parallel, func(i int) (*trial.Result, error) { return runs[i]() }, func(r *trial.Result) error {
-		put[done](r)
+		storeResults[done](r)
 		done++
 		return nil
 	})
@@ -132,7 +134,7 @@
 	table := s.table(cases)
 	fmt.Fprint(out, table)
 	if s.out != "" {
-		if err := s.keep(table, cases); err != nil {
+		if err := s.writeFiles(table, cases); err != nil {
 			return err
 		}
 	}
@@ -152,7 +154,7 @@
 }
 
 // scale replaces the sizes of a scenario by those that the flags give.
-func (s *sickness) scale(sc *scenario.Scenario) {
+func (s *sickOptions) scale(sc *scenario.Scenario) {
 	sc.Seed = s.seed
 	if s.slots > 0 {
 		sc.Settings.Slots = s.slots
@@ -182,11 +184,13 @@
 	}
 }
 
-func (s *sickness) table(cases []*sickCase) string {
+// table formats the figures of healthy destinations and the effect of the failing ones, one row for each scenario.
+func (s *sickOptions) table(cases []*sickCase) string {
 	var b strings.Builder
 	w := cases[0].hit.World
-	fmt.Fprintf(&b, "%.0f notices a second, about %d destinations, %d slots, seed %d; faults from 1 to 6 s of 8; figures of healthy destinations,\n"+
-		"compared with a run of the same seed without faults (calm)\n\n", w.Traffic.Rate, len(w.Destinations), w.Settings.Slots, w.Seed)
+	fmt.Fprintf(&b, "%.0f notices a second, about %d destinations, %d slots, seed %d; faults from 1 to 6 s of 8; "+
+		"figures of healthy destinations,\ncompared with a run of the same seed without faults (calm)\n\n",
+		w.Traffic.Rate, len(w.Destinations), w.Settings.Slots, w.Seed)
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "scenario\tnotices\tcredit\tof calm\tp99 ms\tof calm\tslots of the sick\tfurther\tload of the sick\tCPU of calm\trules")
 	if s.relay {
@@ -209,10 +213,10 @@
 	}
 	t.Flush()
 	fmt.Fprint(&b, `
-slots of the sick: the highest share of all slots that calls to failing destinations held at once. further: calls beyond each
-notice's first that a gateway saw, divided by the number of wanted notices. load of the sick: the highest number of calls that
-reached failing destinations within half a second, divided by the mean number of their wanted notices in that time; calls for
-their backlog count too.
+slots of the sick: the highest share of all slots that calls to failing destinations held at once. further: calls beyond
+each notice's first that a gateway saw, divided by the number of wanted notices. load of the sick: the highest number of
+calls that reached failing destinations within half a second, divided by the mean number of their wanted notices in that
+time; calls for their backlog count too.
 `)
 	return b.String()
 }
@@ -226,7 +230,7 @@
 }
 
 // writeFiles writes the table and the charts of slots and load over time to the folder of --out.
-func (s *sickness) keep(table string, cases []*sickCase) error {
+func (s *sickOptions) writeFiles(table string, cases []*sickCase) error {
 	if err := os.MkdirAll(s.out, 0o755); err != nil {
 		return fmt.Errorf("creating the folder for the results: %w", err)
 	}
--- a/cmd/chutelab/standin.go
+++ b/cmd/chutelab/standin.go
@@ -16,13 +16,14 @@
 
 // standinCommand returns the group of commands that run stand-ins for senders started by the user.
 func standinCommand() *cobra.Command {
-	group := &cobra.Command{Use: "standin", Short: "Run stand-in gateways or a stand-in platform", Args: cli.Args(cobra.NoArgs), RunE: cli.Help}
+	group := &cobra.Command{Use: "standin", Short: "Run stand-in gateways or a stand-in platform",
+		Args: cli.Args(cobra.NoArgs), RunE: cli.Help}
 	group.AddCommand(standinGateway(), standinPlatform())
 	return group
 }
 
 // newEnvironment loads a scenario and creates its test environment and gateways, for senders that the user runs.
-func stage(name string) (*standin.Stage, *standin.Gateways, error) {
+func newEnvironment(name string) (*standin.Stage, *standin.Gateways, error) {
 	s, err := scenario.Load(name)
 	if err != nil {
 		return nil, nil, err
@@ -37,13 +38,13 @@
 	return st, g, nil
 }
 
-// watch starts the scenario's clock and waits for an interrupt, upon which it prints a summary of the calls. With verbose
-// it also prints each call.
+// watch starts the scenario's clock and waits for an interrupt, upon which it prints a summary of the calls. With
+// verbose it also prints each call.
 func watch(c *cobra.Command, st *standin.Stage, verbose bool) {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
 	st.Clock.Begin()
-	told := 0
+	printed := 0
 	for {
 		select {
 		case <-stop:
@@ -57,7 +58,8 @@
 					delivered++
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "calls %d, took effect %d, answered 200 %d; outcomes reported %d\n", len(v.Calls), ran, delivered, len(v.Ends))
+			fmt.Fprintf(c.OutOrStdout(), "calls %d, took effect %d, answered 200 %d; outcomes reported %d\n",
+				len(v.Calls), ran, delivered, len(v.Ends))
 			return
 		case <-time.After(200 * time.Millisecond):
 		}
@@ -65,11 +67,11 @@
 			continue
 		}
 		calls := st.Record.View().Calls
-		for _, call := range calls[told:] {
-			fmt.Fprintf(c.OutOrStdout(), "%9.1f  %s called at %s: took effect %v, status %d, wait %.0f %s\n", call.First, call.ID, call.Receiver,
-				call.Ran, call.Status, call.Wait, call.Fault)
+		for _, call := range calls[printed:] {
+			fmt.Fprintf(c.OutOrStdout(), "%9.1f  %s called at %s: took effect %v, status %d, wait %.0f %s\n",
+				call.First, call.ID, call.Receiver, call.Ran, call.Status, call.Wait, call.Fault)
 		}
-		told = len(calls)
+		printed = len(calls)
 	}
 }
 
@@ -78,12 +80,12 @@
 	var name, listen string
 	var verbose bool
 	c := &cobra.Command{
-		Use: "gateway", Short: "Run the gateway of a scenario's first destination at an address", Args: cli.Args(cobra.NoArgs),
-		Long: `gateway runs one receiver of a scenario's first destination, with its limit, response times and faults, until it is
-interrupted. Faults are timed from its start.`,
+		Use: "gateway", Short: "Run a gateway for a scenario's first destination", Args: cli.Args(cobra.NoArgs),
+		Long: `gateway runs one receiver of a scenario's first destination, with its limit, response times and faults, until
+it is interrupted. Faults are timed from its start.`,
 		Example: "  chuteweir standin gateway --listen 127.0.0.1:9000 --verbose",
 		RunE: func(c *cobra.Command, _ []string) error {
-			st, g, err := stage(name)
+			st, g, err := newEnvironment(name)
 			if err != nil {
 				return err
 			}
@@ -108,12 +110,12 @@
 	var verbose bool
 	c := &cobra.Command{
 		Use: "platform", Short: "Run a platform with all of a scenario's gateways", Args: cli.Args(cobra.NoArgs),
-		Long: `platform runs a platform at an address and all gateways of a scenario on unused ports, until it is interrupted. With
---write it writes the configuration of a sender that uses this platform and these gateways.`,
+		Long: `platform runs a platform at an address and all gateways of a scenario on unused ports, until it is interrupted.
+With --write it writes the configuration of a sender that uses this platform and these gateways.`,
 		Example: `  chuteweir standin platform --listen 127.0.0.1:8500 --write sender.toml
   chuteweir serve sender.toml`,
 		RunE: func(c *cobra.Command, _ []string) error {
-			st, g, err := stage(name)
+			st, g, err := newEnvironment(name)
 			if err != nil {
 				return err
 			}
