--- a/cmd/chutelab/load.go
+++ b/cmd/chutelab/load.go
@@ -23,31 +23,33 @@
 	"github.com/spf13/cobra"
 )
 
-// load is what a load run is asked for.
-type load struct {
-	rate, hang          float64
-	ramp                string
-	destinations, hold  int
-	held                int
-	sockets             int
-	senders, slots      int
-	body, rounds        int
-	length, mean, bound time.Duration
-	program, against    string
-	relay, asJSON       bool
-	targets             []string
-	platform, out, name string
-	pid                 int
+// loadOptions holds the flags of the load command.
+type loadOptions struct {
+	rate, hang               float64
+	shape                    string
+	destinations, hold       int
+	held                     int
+	sockets                  int
+	senders, slots           int
+	body, rounds             int
+	length, mean, bound      time.Duration
+	program, comparedProgram string
+	relay, asJSON            bool
+	targets                  []string
+	platform, out, name      string
+	pid                      int
 }
 
+// loadCommand returns the command that loads senders and measures them.
 func loadCommand() *cobra.Command {
-	var l load
+	var l loadOptions
 	c := &cobra.Command{
 		Use: "load", Short: "Load a sender and measure it", Args: cli.Args(cobra.NoArgs),
-		Long: `load hands in notices at times of its own, whatever the answers (an open loop), and measures from the time at which
-each was to be handed in. Gateways, platform and clients run in this process, the senders in theirs, on one machine's
-loopback. With --relay or --against two programs run in turn, A B A B, and the ratio of each pair is told with its spread.
-With --p99 it looks for the rate at which the 99th percentile of delivery passes a bound, or deliveries are lost.`,
+		Long: `load submits notices at scheduled times, independent of the answers (an open loop), and measures delivery from
+the scheduled time of each. Gateways, platform and clients run in this process, each sender in a process of its own,
+all over the loopback of one machine. With --relay or --against two programs run alternately, A B A B, and the table contains the
+median, least and greatest ratio of the pairs. With --p99 it searches for the rate at which the 99th percentile of the
+delivery time exceeds a bound, or deliveries are lost.`,
 		Example: `  chuteweir load --rate 500 --destinations 20
   chuteweir load --rate 3000 --relay --rounds 3 --out docs/measurements --name relay-3000
   chuteweir load --against old/chuteweir --rounds 3
@@ -55,10 +57,10 @@
   chuteweir load --target 127.0.0.1:8443 --platform 127.0.0.1:8500 --pid 4711`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if l.rate <= 0 || l.destinations < 1 || l.senders < 1 || l.rounds < 1 || l.hang < 0 || l.hang > 1 {
-				return cli.Misused("--rate, --destinations, --senders and --rounds must be above 0, --hang from 0 to 1")
+				return cli.Misused("--rate, --destinations, --senders and --rounds must be above 0, --hang between 0 and 1")
 			}
-			if l.ramp != "" && !slices.Contains([]string{"steady", "ramp", "peak"}, l.ramp) {
-				return cli.Misused("--shape %s: one of steady, ramp, peak", l.ramp)
+			if l.shape != "" && !slices.Contains([]string{"steady", "ramp", "peak"}, l.shape) {
+				return cli.Misused("--shape %s: must be one of steady, ramp, peak", l.shape)
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -66,40 +68,43 @@
 		},
 	}
 	f := c.Flags()
-	f.Float64Var(&l.rate, "rate", 500, "notices a second, in the mean")
-	f.StringVar(&l.ramp, "shape", "steady", "steady; ramp: from nothing to twice the rate; peak: twice the rate in the middle")
-	f.IntVar(&l.destinations, "destinations", 20, "destinations with one receiver each")
-	f.IntVar(&l.senders, "senders", 1, "sender processes")
-	f.IntVar(&l.slots, "slots", 4000, "calls out at once, for each sender")
-	f.IntVar(&l.sockets, "sockets", 19_000, "descriptors that each sender is told it has; a quarter of them are for receivers")
-	f.IntVar(&l.hold, "hold", 200_000, "notices held at once, for each sender")
-	f.IntVar(&l.body, "body", 200, "bytes of a notice's body")
-	f.Float64Var(&l.hang, "hang", 0, "share of the destinations that take calls and never answer, from a fifth of the length on")
-	f.IntVar(&l.held, "held", 0, "notices for destinations that refuse, handed in before and held throughout; they don't count")
-	f.DurationVar(&l.length, "length", 8*time.Second, "how long notices come")
-	f.DurationVar(&l.mean, "mean", 0, "mean time of a call at the gateways; 0: they answer at once")
-	f.DurationVar(&l.bound, "p99", 0, "look for the rate at which p99 of delivery passes this")
-	f.StringVar(&l.program, "program", "", "the sender's program (A); else the one beside this")
-	f.StringVar(&l.against, "against", "", "another sender's program (B), to run in turn with A")
-	f.BoolVar(&l.relay, "relay", false, "run the plain relay (B) in turn with A")
-	f.IntVar(&l.rounds, "rounds", 1, "how often A, or A and B, run")
-	f.StringSliceVar(&l.targets, "target", nil, "senders that run already, in place of A")
-	f.StringVar(&l.platform, "platform", "", "with --target: where these ask for the list")
-	f.IntVar(&l.pid, "pid", 0, "with --target: the process whose processor time and memory count")
-	f.StringVar(&l.out, "out", "", "a folder for the table and a chart")
-	f.StringVar(&l.name, "name", "load", "with --out: the name of their files")
-	f.BoolVar(&l.asJSON, "json", false, "the results as JSON, a line a run")
+	f.Float64Var(&l.rate, "rate", 500, "mean number of notices a second")
+	f.StringVar(&l.shape, "shape", "steady",
+		"steady; ramp: rising from 0 to twice the rate; peak: twice the rate in the middle")
+	f.IntVar(&l.destinations, "destinations", 20, "number of destinations, with one receiver each")
+	f.IntVar(&l.senders, "senders", 1, "number of sender processes")
+	f.IntVar(&l.slots, "slots", 4000, "maximum of outstanding calls of each sender")
+	f.IntVar(&l.sockets, "sockets", 19_000, "each sender's limit of file descriptors; a quarter of them are for receivers")
+	f.IntVar(&l.hold, "hold", 200_000, "maximum of notices that each sender holds")
+	f.IntVar(&l.body, "body", 200, "size of a notice's body in bytes")
+	f.Float64Var(&l.hang, "hang", 0,
+		"share of the destinations that accept calls and never respond, after a fifth of the length")
+	f.IntVar(&l.held, "held", 0,
+		"notices to destinations that refuse connections, submitted beforehand, held throughout and not measured")
+	f.DurationVar(&l.length, "length", 8*time.Second, "duration of the submission of notices")
+	f.DurationVar(&l.mean, "mean", 0, "mean service time of a call at the gateways; 0: they respond at once")
+	f.DurationVar(&l.bound, "p99", 0, "search for the rate at which p99 of the delivery time exceeds this")
+	f.StringVar(&l.program, "program", "", "the sender's program (A); by default the one in the folder of this program")
+	f.StringVar(&l.comparedProgram, "against", "", "another sender's program (B), to run alternately with A")
+	f.BoolVar(&l.relay, "relay", false, "run the plain relay (B) alternately with A")
+	f.IntVar(&l.rounds, "rounds", 1, "number of runs of A, or of A and B")
+	f.StringSliceVar(&l.targets, "target", nil, "addresses of running senders, in place of A")
+	f.StringVar(&l.platform, "platform", "", "with --target: the address at which these senders request the receiver list")
+	f.IntVar(&l.pid, "pid", 0, "with --target: the process whose CPU time and memory are measured")
+	f.StringVar(&l.out, "out", "", "the folder to write the table and the chart to")
+	f.StringVar(&l.name, "name", "load", "with --out: the name of these files, without extension")
+	f.BoolVar(&l.asJSON, "json", false, "print the results as JSON, one line for each run")
 	return c
 }
 
-// heldSpan is how long the notices that are held throughout take to come.
-const heldSpan = 3 * time.Second
+// heldDuration is the duration of the submission of the notices that are held throughout.
+const heldDuration = 3 * time.Second
 
-// scenario writes the scenario of a rate.
-func (l *load) scenario(rate float64, seed int) (*scenario.Scenario, error) {
+// scenario returns the scenario for a rate in notices a second.
+func (l *loadOptions) scenario(rate float64, seed int) (*scenario.Scenario, error) {
 	service, length, settle := "fixed", l.length, "8s"
 	if l.held > 0 {
-		length, settle = length+heldSpan+time.Second, "500ms"
+		length, settle = length+heldDuration+time.Second, "500ms"
 	}
 	text := fmt.Sprintf(`
 name = "load"
@@ -135,10 +140,10 @@
 cores = 100000
 service = %q
 mean = %q
-`, seed, length, settle, l.sockets, rate, l.ramp, l.body, l.slots, l.hold, l.senders, l.destinations, service, l.mean)
+`, seed, length, settle, l.sockets, rate, l.shape, l.body, l.slots, l.hold, l.senders, l.destinations, service, l.mean)
 	if l.held > 0 {
 		text = strings.Replace(text, "[traffic]", fmt.Sprintf("[traffic]\nfirst = %d\nfirst_group = \"dead\"\nfirst_grade = \"kept\"\nfirst_span = %q",
-			l.held, heldSpan), 1) + `
+			l.held, heldDuration), 1) + `
 [[grade]]
 name = "kept"
 quoted = "600s"
@@ -163,19 +168,21 @@
 	return s, faults.Or()
 }
 
-// side is one of the programs that are compared.
+// side is one of the compared programs with the results of its runs.
 type side struct {
 	name  string
 	start trial.Start
 	runs  []*trial.Result
 }
 
-func (l *load) run(ctx context.Context, out io.Writer) error {
+// run runs the programs in rounds and prints and writes the results, or searches for the highest rate if a bound is
+// given.
+func (l *loadOptions) run(ctx context.Context, out io.Writer) error {
 	var sides []*side
 	if len(l.targets) == 0 {
 		path, err := sender(l.program)
 		if err != nil {
-			return fmt.Errorf("no sender to load: %w", err)
+			return fmt.Errorf("finding the sender's program: %w", err)
 		}
 		sides = append(sides, &side{name: "chuteweir", start: trial.Serve(path, "info")})
 	} else {
@@ -188,15 +195,15 @@
 		}
 		sides = append(sides, &side{name: "relay", start: trial.Relay(self)})
 	}
-	if l.against != "" {
-		sides = append(sides, &side{name: l.against, start: trial.Serve(l.against, "info")})
+	if l.comparedProgram != "" {
+		sides = append(sides, &side{name: l.comparedProgram, start: trial.Serve(l.comparedProgram, "info")})
 	}
 	if l.bound > 0 {
 		return l.search(ctx, out, sides)
 	}
 	for round := range l.rounds {
 		for _, s := range sides {
-			r, err := l.once(ctx, s, l.rate, round)
+			r, err := l.runOnce(ctx, s, l.rate, round)
 			if err != nil {
 				return err
 			}
@@ -213,34 +220,35 @@
 		fmt.Fprint(out, table)
 	}
 	if l.out != "" {
-		if err := l.keep(table, sides); err != nil {
+		if err := l.writeFiles(table, sides); err != nil {
 			return err
 		}
 	}
 	for _, r := range sides[0].runs {
 		if !r.Clean() && l.hang == 0 {
-			return fmt.Errorf("a rule was broken: %s", r.Breaches[0])
+			return fmt.Errorf("the sender broke a rule: %s", r.Breaches[0])
 		}
 	}
 	return nil
 }
 
-func (l *load) once(ctx context.Context, s *side, rate float64, seed int) (*trial.Result, error) {
+// runOnce runs one program once at a rate. With held notices, CPU time counts only after their submission.
+func (l *loadOptions) runOnce(ctx context.Context, s *side, rate float64, seed int) (*trial.Result, error) {
 	sc, err := l.scenario(rate, seed+1)
 	if err != nil {
 		return nil, err
 	}
 	o := trial.Options{Scenario: sc, Start: s.start, Targets: l.targets, Platform: l.platform, PID: l.pid}
 	if l.held > 0 {
-		o.CPUFrom = millis(heldSpan + time.Second)
+		o.CPUFrom = millis(heldDuration + time.Second)
 	}
 	return trial.Run(ctx, o)
 }
 
-// figures are what is compared.
+// figures are the rows of the table: values computed from the result of a run.
 var figures = []struct {
-	name string
-	of   func(*trial.Result) float64
+	name  string
+	value func(*trial.Result) float64
 }{
 	{"delivered a second", func(r *trial.Result) float64 { return float64(r.All.Delivered) / r.Seconds }},
 	{"delivered share, well", func(r *trial.Result) float64 { return share(r.Well) }},
@@ -261,14 +269,17 @@
 	{"handed in late", func(r *trial.Result) float64 { return float64(r.LateOffers) / float64(max(r.All.Asked, 1)) }},
 }
 
+// share returns the delivered part of the wanted notices.
 func share(s trial.Share) float64 { return float64(s.Delivered) / float64(max(s.Asked, 1)) }
 
+// median returns the median of values, which must not be empty.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	n := len(sorted)
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
+// collect returns a figure of each run of a side.
 func collect(s *side, of func(*trial.Result) float64) (values []float64) {
 	for _, r := range s.runs {
 		values = append(values, of(r))
@@ -276,11 +287,12 @@
 	return values
 }
 
-// table tells medians, and with two programs the ratio of A to B over the pairs.
-func (l *load) table(sides []*side) string {
+// table formats the median of each figure, and with two programs the median, least and greatest ratio of A to B over
+// the pairs of runs.
+func (l *loadOptions) table(sides []*side) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%.0f notices a second (%s) for %v, %d destinations, %d senders, %.2f of the destinations hang, %d held, %d rounds\n\n",
-		l.rate, l.ramp, l.length, l.destinations, l.senders, l.hang, l.held, len(sides[0].runs))
+		l.rate, l.shape, l.length, l.destinations, l.senders, l.hang, l.held, len(sides[0].runs))
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "median of the rounds")
 	for _, s := range sides {
@@ -293,11 +305,11 @@
 	for _, f := range figures {
 		fmt.Fprint(t, f.name)
 		for _, s := range sides {
-			fmt.Fprintf(t, "\t%.3f", median(collect(s, f.of)))
+			fmt.Fprintf(t, "\t%.3f", median(collect(s, f.value)))
 		}
 		if len(sides) > 1 {
 			var ratios []float64
-			a, b := collect(sides[0], f.of), collect(sides[1], f.of)
+			a, b := collect(sides[0], f.value), collect(sides[1], f.value)
 			for i := range a {
 				if b[i] != 0 {
 					ratios = append(ratios, a[i]/b[i])
@@ -313,10 +325,10 @@
 	return b.String()
 }
 
-// keep writes the table and the deliveries' distribution.
-func (l *load) keep(table string, sides []*side) error {
+// writeFiles writes the table and the chart of the distribution of delivery times.
+func (l *loadOptions) writeFiles(table string, sides []*side) error {
 	if err := os.MkdirAll(l.out, 0o755); err != nil {
-		return fmt.Errorf("keeping the results: %w", err)
+		return fmt.Errorf("creating the folder for the results: %w", err)
 	}
 	c := chart.Chart{Title: fmt.Sprintf("Delivery, %.0f notices a second, %d destinations", l.rate, l.destinations),
 		X: "ms from the intended hand-in", Y: "share delivered", LogX: true, Least: 0, Most: 1}
@@ -338,13 +350,14 @@
 	return os.WriteFile(filepath.Join(l.out, l.name+".txt"), []byte("chutelab "+strings.Join(os.Args[1:], " ")+"\n\n"+table), 0o644)
 }
 
-// search looks for the highest rate at which p99 stays under the bound and all is delivered.
-func (l *load) search(ctx context.Context, out io.Writer, sides []*side) error {
+// search finds, for each side, the highest rate at which p99 of the delivery time stays within the bound and more than
+// 99.9 % of the notices are delivered: it doubles the rate until that fails, then bisects three times.
+func (l *loadOptions) search(ctx context.Context, out io.Writer, sides []*side) error {
 	type point struct{ rate, p99 float64 }
 	for _, s := range sides {
 		var points []point
-		holds := func(rate float64) (bool, error) {
-			r, err := l.once(ctx, s, rate, 0)
+		meetsBound := func(rate float64) (bool, error) {
+			r, err := l.runOnce(ctx, s, rate, 0)
 			if err != nil {
 				return false, err
 			}
@@ -356,7 +369,7 @@
 		}
 		low, high := 0.0, l.rate
 		for {
-			ok, err := holds(high)
+			ok, err := meetsBound(high)
 			if err != nil {
 				return err
 			}
@@ -369,7 +382,7 @@
 		}
 		for range 3 {
 			middle := math.Round((low + high) / 2)
-			ok, err := holds(middle)
+			ok, err := meetsBound(middle)
 			if err != nil {
 				return err
 			}
@@ -379,7 +392,8 @@
 				high = middle
 			}
 		}
-		fmt.Fprintf(out, "%s: %.0f a second keep p99 under %v; %.0f do not. The load's own processes share this machine.\n", s.name, low, l.bound, high)
+		fmt.Fprintf(out, "%s: at %.0f a second p99 stays within %v, at %.0f it does not. "+
+			"The processes that produce the load share this machine.\n", s.name, low, l.bound, high)
 		if l.out != "" {
 			slices.SortFunc(points, func(a, b point) int { return cmp.Compare(a.rate, b.rate) })
 			line := chart.Series{Name: s.name}
