--- a/cmd/chutelab/load.go
+++ b/cmd/chutelab/load.go
@@ -46,10 +46,10 @@
 	c := &cobra.Command{
 		Use: "load", Short: "Load a sender and measure it", Args: cli.Args(cobra.NoArgs),
 		Long: `load submits notices at scheduled times, independent of the answers (an open loop), and measures delivery from
-the scheduled time of each. Gateways, platform and clients run in this process, each sender in a process of its own,
-all over the loopback of one machine. With --relay or --against two programs run alternately, A B A B, and the table contains the
-median, least and greatest ratio of the pairs. With --p99 it searches for the rate at which the 99th percentile of the
-delivery time exceeds a bound, or deliveries are lost.`,
+the scheduled time of each. Gateways, platform and clients run in this process, each sender in a process of
+its own, all over the loopback of one machine. With --relay or --against two programs run alternately, A B A
+B, and the table contains the median, least and greatest ratio of the pairs. With --p99 it searches for the
+rate at which the 99th percentile of the delivery time exceeds a bound, or deliveries are lost.`,
 		Example: `  chuteweir load --rate 500 --destinations 20
   chuteweir load --rate 3000 --relay --rounds 3 --out docs/measurements --name relay-3000
   chuteweir load --against old/chuteweir --rounds 3
@@ -84,15 +84,15 @@
 	f.DurationVar(&l.length, "length", 8*time.Second, "duration of the submission of notices")
 	f.DurationVar(&l.mean, "mean", 0, "mean service time of a call at the gateways; 0: they respond at once")
 	f.DurationVar(&l.bound, "p99", 0, "search for the rate at which p99 of the delivery time exceeds this")
-	f.StringVar(&l.program, "program", "", "the sender's program (A); by default the one in the folder of this program")
+	f.StringVar(&l.program, "program", "", "the sender's program (A); by default the one in the directory of this program")
 	f.StringVar(&l.comparedProgram, "against", "", "another sender's program (B), to run alternately with A")
 	f.BoolVar(&l.relay, "relay", false, "run the plain relay (B) alternately with A")
 	f.IntVar(&l.rounds, "rounds", 1, "number of runs of A, or of A and B")
 	f.StringSliceVar(&l.targets, "target", nil, "addresses of running senders, in place of A")
 	f.StringVar(&l.platform, "platform", "", "with --target: the address at which these senders request the receiver list")
 	f.IntVar(&l.pid, "pid", 0, "with --target: the process whose CPU time and memory are measured")
-	f.StringVar(&l.out, "out", "", "the folder to write the table and the chart to")
-	f.StringVar(&l.name, "name", "load", "with --out: the name of these files, without extension")
+	f.StringVar(&l.out, "out", "", "directory for the table and the chart")
+	f.StringVar(&l.name, "name", "load", "with --out: base name of the files")
 	f.BoolVar(&l.asJSON, "json", false, "print the results as JSON, one line for each run")
 	return c
 }
@@ -328,7 +328,7 @@
 // writeFiles writes the table and the chart of the distribution of delivery times.
 func (l *loadOptions) writeFiles(table string, sides []*side) error {
 	if err := os.MkdirAll(l.out, 0o755); err != nil {
-		return fmt.Errorf("creating the folder for the results: %w", err)
+		return fmt.Errorf("creating the directory for the results: %w", err)
 	}
 	c := chart.Chart{Title: fmt.Sprintf("Delivery, %.0f notices a second, %d destinations", l.rate, l.destinations),
 		X: "ms from the intended hand-in", Y: "share delivered", LogX: true, Least: 0, Most: 1}
@@ -392,8 +392,8 @@
 				high = middle
 			}
 		}
-		fmt.Fprintf(out, "%s: at %.0f a second p99 stays within %v, at %.0f it does not. "+
-			"The processes that produce the load share this machine.\n", s.name, low, l.bound, high)
+		fmt.Fprintf(out, "%s: at %.0f a second p99 stays within %v, at %.0f it does not. The load's own processes share this machine.\n",
+				s.name, low, l.bound, high)
 		if l.out != "" {
 			slices.SortFunc(points, func(a, b point) int { return cmp.Compare(a.rate, b.rate) })
 			line := chart.Series{Name: s.name}
--- a/cmd/chutelab/sick.go
+++ b/cmd/chutelab/sick.go
@@ -65,11 +65,11 @@
 	f.IntVar(&s.sockets, "sockets", 0, "the sender's limit of file descriptors, in place of the scenarios' 1024")
 	f.Float64Var(&s.rate, "rate", 0, "notices a second, in place of the scenarios' 400")
 	f.Uint64Var(&s.seed, "seed", 1, "seed of all random numbers")
-	f.IntVar(&s.parallel, "parallel", 1, "number of runs at a time")
+	f.IntVar(&s.parallel, "parallel", 1, "number of concurrent runs")
 	f.BoolVar(&s.relay, "relay", false, "run the plain relay too, as the baseline")
-	f.StringVar(&s.program, "program", "", "the sender's program; by default the one in the folder of this program")
-	f.StringVar(&s.out, "out", "", "the folder to write the table and charts to")
-	f.StringVar(&s.name, "name", "sick", "with --out: the name of these files, without extension")
+	f.StringVar(&s.program, "program", "", "the sender's program; by default the one in the directory of this program")
+	f.StringVar(&s.out, "out", "", "directory for the table and charts")
+	f.StringVar(&s.name, "name", "sick", "with --out: base name of the files")
 	return c
 }
 
@@ -229,10 +229,10 @@
 	return fmt.Sprintf("%.2f", a/b)
 }
 
-// writeFiles writes the table and the charts of slots and load over time to the folder of --out.
+// writeFiles writes the table and the charts of slots and load over time to the directory of --out.
 func (s *sickOptions) writeFiles(table string, cases []*sickCase) error {
 	if err := os.MkdirAll(s.out, 0o755); err != nil {
-		return fmt.Errorf("creating the folder for the results: %w", err)
+		return fmt.Errorf("creating the directory for the results: %w", err)
 	}
 	slots := chart.Chart{Title: "Slots held by sick destinations", X: "s", Y: "share of all slots", Least: 0, Most: 1,
 		Bands: []chart.Band{{Name: "sick", From: 1, To: 6}}}
