--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The project's chores; `make check` is what CI runs.
+# Common tasks; `make check` is what CI runs.
 
 .PHONY: build test fuzz lint run check cover soak model measure
 
@@ -17,17 +17,17 @@
 	go vet ./...
 	go tool staticcheck ./...
 
-# A sender by itself: `make run CONFIG=sender.toml`; docs/configuration.md shows one.
+# Runs a sender: `make run CONFIG=sender.toml`; docs/configuration.md shows a file.
 run: build
 	bin/chuteweir serve $(CONFIG)
 
-# What the tests of the program reach, in the sender's own process.
+# Coverage of the sender's own process by the tests of the program.
 cover:
 	mkdir -p bin/cover && rm -rf bin/cover/*
 	GOCOVERDIR=$(CURDIR)/bin/cover go test -count 1 ./cmd/chuteweir
 	go tool covdata percent -i bin/cover
 
-# Many seeds of mixed troubles, each audited: some 25 s a seed.
+# Many seeds of mixed faults, each audited: some 25 s a seed.
 soak: build
 	bin/chuteweir try --scenario mixed --seeds $(or $(SEEDS),200)
 
@@ -35,7 +35,7 @@
 model:
 	CHUTEWEIR_SEEDS=$(or $(SEEDS),5000) go test -count 1 -timeout 60m ./internal/model -run TestRulesKept
 
-# The figures of docs/measurements; some 8 minutes, on a machine that does nothing else.
+# Reproduces the figures of docs/measurements; some 8 minutes, on an otherwise idle machine.
 measure: build
 	bash docs/measurements/measure.sh
 
