--- a/cmd/chutelab/load.go
+++ b/cmd/chutelab/load.go
@@ -393,7 +393,7 @@
 			}
 		}
 		fmt.Fprintf(out, "%s: at %.0f a second p99 stays within %v, at %.0f it does not. The load's own processes share this machine.\n",
-				s.name, low, l.bound, high)
+			s.name, low, l.bound, high)
 		if l.out != "" {
 			slices.SortFunc(points, func(a, b point) int { return cmp.Compare(a.rate, b.rate) })
 			line := chart.Series{Name: s.name}
