--- a/cmd/chutelab/standin.go
+++ b/cmd/chutelab/standin.go
@@ -135,7 +135,7 @@
 					return fmt.Errorf("writing the sender's configuration: %w", err)
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "platform listening at %s, with %d destinations\n", listen, len(st.Instance.Destinations))
+			fmt.Fprintf(c.OutOrStdout(), "a platform answers at %s, with %d destinations\n", listen, len(st.Instance.Destinations))
 			watch(c, st, verbose)
 			return nil
 		},
