--- a/cmd/chuteweir/commands.go
+++ b/cmd/chuteweir/commands.go
@@ -99,9 +99,9 @@
 				}
 			}
 			if faulty > 0 {
-				return fmt.Errorf("%d of %d files have errors or warnings", faulty, len(args))
+				return fmt.Errorf("%d of %d files have faults", faulty, len(args))
 			}
-			fmt.Fprintf(command.OutOrStdout(), "%d checked, no errors or warnings\n", len(args))
+			fmt.Fprintf(command.OutOrStdout(), "%d without a fault\n", len(args))
 			return nil
 		},
 	}
