--- a/rules/api.go
+++ b/rules/api.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// The identifiers of the things that events and actions refer to. They are only compared for equality.
+// The identifiers of the things that events and actions refer to. Those that are not described as an index
+// are only compared for equality.
 type (
 	// NoticeID identifies a notice at this sender.
 	NoticeID uint32
@@ -24,7 +25,7 @@
 	TimerID uint64
 )
 
-// Millis is a time or a duration in milliseconds.
+// Millis is a duration in milliseconds, or a time in milliseconds since an origin that the caller chooses.
 type Millis float64
 
 // Repeat says how a notice that may have run can be sent again.
@@ -38,10 +39,10 @@
 
 // Grade is a service grade.
 type Grade struct {
-	QuotedTime    Millis
-	ClientTimeout Millis
-	Credit        float64
-	LateShare     float64 // share of the credit that is left at the client timeout
+	QuotedTime    Millis  // from the submission; a delivery within this time earns the full credit
+	ClientTimeout Millis  // from the submission; a delivery after this time earns no credit
+	Credit        float64 // full credit of one notice
+	LateShare     float64 // share of the credit that any delivery before the client timeout earns at least
 	Repeat        Repeat
 	ZoneOnly      bool   // numbered: receivers recognize a repeat only within the zone of the first trip
 	RemembersFor  Millis // numbered: how long receivers remember a mark, from the first trip on
@@ -62,24 +63,24 @@
 	ZoneFees          []float64 // fee of a call to each zone
 	Senders           int       // number of senders of the deployment
 	Slots             int       // highest number of outstanding calls
-	HoldLimit         int       // highest number of notices that are held or out; 0: no limit
+	HoldLimit         int       // highest number of held notices, with those on a trip; 0: no limit
 	TripLimit         int       // highest number of trips of a notice
 	CancelTrips       bool      // outstanding trips may be cancelled
 	Tick              Millis    // resolution of the caller's timers
 	OverQuotaWeight   float64   // weight of the credit beyond a portfolio's quota
 	TotalCreditWeight float64   // weight of the total credit in the goal of the deployment
 	WorstGradeWeight  float64   // weight of the grade that is served worst in this goal
-	LateCreditHalves  bool      // late credit halves with each further quoted time; otherwise it falls linearly
+	LateCreditHalves  bool      // late credit halves with each further quoted time; else it falls linearly
 	RetryAfter        bool      // a dismissal may say when to submit the notice again
 	MaxRetryAfter     Millis    // longest time that a dismissal may say
-	WatchOnRequest    bool      // the platform sends changes of the receiver list only to senders that ask for a watch
-	RewatchWithin     Millis    // time within which a broken watch of the receiver list must be requested again
-	ListedError       float64   // how far a listed rate may exceed the true one, as a share of that; < 0: none listed
+	WatchOnRequest    bool      // the platform sends list changes only to senders that ask for a watch
+	RewatchWithin     Millis    // time within which a broken watch of the list must be requested again
+	ListedError       float64   // highest excess of a listed rate as a share of the true one; < 0: not listed
 	ColdCapacity      float64   // share of its capacity that a destination has at the end of an outage
 	WarmUpTime        Millis    // time within which it regains its full capacity
-	// OverloadFactor and OverloadTime describe when a recovering destination is overloaded: it is sent more than
-	// OverloadFactor times its present capacity for OverloadTime. The decisions also use OverloadTime as the
-	// time scale of other measurements.
+	// OverloadFactor and OverloadTime describe when a recovering destination is overloaded: it is sent more
+	// than OverloadFactor times its present capacity for OverloadTime. The decisions also use OverloadTime as
+	// the time scale of other measurements.
 	OverloadFactor float64
 	OverloadTime   Millis
 	KeyCooldown    Millis // cooldown of a key after a call that may still be running
@@ -127,8 +128,8 @@
 
 // String returns the name of the result.
 func (r Result) String() string {
-	names := [...]string{"handled", "errored", "full", "timed out", "not connected", "reset", "cancelled", "moot",
-		"short", "recalled", "ambiguous"}
+	names := [...]string{"handled", "errored", "full", "timed out", "not connected", "reset", "cancelled",
+		"moot", "short", "recalled", "ambiguous"}
 	return names[r]
 }
 
@@ -145,7 +146,7 @@
 		Destination DestinationID
 		TimeLeft    Millis  // time until the client timeout
 		Waited      Millis  // how long it may have waited to be read; TimeLeft does not count this time
-		Inherited   bool    // another sender held it before, and died
+		Inherited   bool    // another sender accepted it before and failed
 		SpaceShare  float64 // share of the space for notices at this sender (memory, ledger) that it takes
 
 		// The fields below are set for a notice that this sender held before it restarted.
@@ -176,8 +177,8 @@
 	// be sent: the reply is Write or Recall. A call on an idle connection is written at once, without this
 	// event.
 	ConnectionUp struct{ Notice NoticeID }
-	// WaitRequested reports a wait that a receiver requested, apart from the outcome of the call: before it or
-	// after it.
+	// WaitRequested reports a wait that a receiver requested, separately from the outcome of the call: before
+	// or after it.
 	WaitRequested struct {
 		Receiver ReceiverID
 		Wait     Millis
--- a/rules/breaker.go
+++ b/rules/breaker.go
@@ -16,9 +16,9 @@
 	return r.state != closed || r.consecutiveFailures > 0 || r.overdueTotal > 1 || r.slow()
 }
 
-// suspect reports whether a route is failing, or may be: it has outstanding calls, and has either never sent
-// a response, or sent none for the time in which its oldest call became overdue. Suspect routes share a part
-// of the slots.
+// suspect reports whether a route is failing, or may be: it has outstanding calls, and has either never
+// handled a call, or sent no response for overdueDelays mean delays while its oldest call waited. All suspect
+// routes together may use only a part of the slots (suspectSlotShare).
 func (s *Sender) suspect(r *route) bool {
 	return s.failing(r) || len(r.outstanding) > 0 && (r.meanDelay == 0 ||
 		s.now-max(r.outstanding[0].sentAt, r.lastResponseAt) >
@@ -33,14 +33,14 @@
 		r.recentHandled.read(s.now, s.settings.OverloadTime) < math.Exp(-confirmingOverloadTimes)
 }
 
-// noteOutageSign records a sign of an outage. The arguments tell whether the route counts as down from now
-// on, and whether the outage is confirmed; an outage that lasts long enough is confirmed in any case.
+// noteOutageSign records a sign of an outage. With down, the route counts as down from now on; with
+// confirmed, the outage is confirmed, as it is in any case when it has lasted for two overload times.
 func (s *Sender) noteOutageSign(r *route, down, confirmed bool) {
 	if r.outageSince == never || r.waitUntil > s.now {
 		r.pacingPhase, r.pacingStart = s.random(), max(s.now, r.waitUntil)
 	}
 	if r.outageSince == never && s.now-r.recoveredAt >= s.settings.WarmUpTime {
-		r.maxRateBeforeOutage = s.maxServedRate(r)
+		r.maxRateBeforeOutage = s.maxHandledRate(r)
 	}
 	r.outageSince = min(r.outageSince, s.now)
 	r.lastOutageSignAt = max(s.now, r.waitUntil)
@@ -105,7 +105,7 @@
 			r.overdueTotal += float64(waited / c.overdueAfter)
 			longestWait = max(longestWait, waited)
 		}
-		if r.overdueTotal >= silentTimeouts && len(r.outstanding) > 1 &&
+		if r.overdueTotal >= silentOverdueTotal && len(r.outstanding) > 1 &&
 			longestWait >= s.settings.OverloadTime/2 {
 			s.openBreaker(r, fmt.Sprintf("%d calls owed for %.0f ms", len(r.outstanding), longestWait))
 		}
--- a/rules/connections.go
+++ b/rules/connections.go
@@ -5,8 +5,8 @@
 
 // keepsIdleConnection reports whether an idle connection to a receiver is kept, because this sender will
 // probably call again soon. Some destinations accept few connections, and the idle ones of many senders keep
-// others from connecting. So where destinations of this kind refuse connections, or little is known of them,
-// the required number of calls grows with the number of senders.
+// other senders from connecting. So while connections to destinations of this kind are scarce, the required
+// number of recent calls grows with the number of senders.
 func (s *Sender) keepsIdleConnection(rc *receiver) bool {
 	if s.now < rc.route.destination.noReuseUntil {
 		return false
--- a/rules/exchanges.go
+++ b/rules/exchanges.go
@@ -13,8 +13,8 @@
 	confirmDelays = 3.0
 	// settleShare is the share of a mean delay that a call may wait for a connection that settles.
 	settleShare = 0.5
-	// confirmShare is the share of its quoted time that a notice that must not run twice waits at least for a
-	// refusal to be confirmed.
+	// confirmShare is the shortest time that an at-most-once notice waits for a refusal to be confirmed, as a
+	// share of its quoted time.
 	confirmShare = 0.125
 	// noReuseTime is how long no connection to a destination is reused after a receiver sent unsolicited
 	// bytes.
@@ -32,8 +32,9 @@
 	return max(SettleTime, min(confirmDelays*rc.route.meanDelay, s.settings.OverloadTime))
 }
 
-// WaitsToSettle reports whether a call waits for a connection that settles in the time left, rather than for
-// a new connection. A new one costs the receiver work, and the call the connect time and a handshake.
+// WaitsToSettle reports whether a call waits for a connection that will have settled when the time left is
+// over, rather than for a new connection. A new one costs the receiver work, and delays the call by the
+// connect time and a handshake.
 func (s *Sender) WaitsToSettle(id ReceiverID, left, connectTime Millis) bool {
 	if rc := s.receivers[id]; rc != nil {
 		connectTime = max(connectTime, settleShare*rc.route.meanDelay)
--- a/rules/gate.go
+++ b/rules/gate.go
@@ -13,7 +13,8 @@
 	return max(s.now, r.waitUntil)
 }
 
-// allowedAt returns the earliest time at which the six rules allow a notice to be sent to a receiver.
+// allowedAt returns the earliest time at which the six rules allow a notice to be sent to a receiver, apart
+// from the order of the notices of a key, which maySend checks.
 func (s *Sender) allowedAt(n *notice, rc *receiver) Millis {
 	r := rc.route
 	if rc.status != Ready || !s.repeatSafe(n, rc) {
@@ -74,7 +75,7 @@
 			return false
 		}
 	}
-	share := 0.75
+	share := 0.75 // of the slots, for the calls to one destination
 	if failing {
 		share = 0.5
 	}
--- a/rules/notices.go
+++ b/rules/notices.go
@@ -60,7 +60,7 @@
 	for _, g := range s.grades {
 		requested := 1 + g.requestedCredit.read(s.now, statisticsWindow)
 		g.weight = math.Exp(-(1 + g.earnedCredit.read(s.now, statisticsWindow)) /
-			requested / servedShareScale)
+			requested / earnedShareScale)
 		totalCredit, weightSum = totalCredit+requested, weightSum+g.weight
 	}
 	for _, g := range s.grades {
--- a/rules/outcomes.go
+++ b/rules/outcomes.go
@@ -65,8 +65,8 @@
 	return result == TimedOut || result == Reset || result == Cancelled || result == Ambiguous
 }
 
-// countsAsNoTrip reports whether a result counts as no trip, because the call was not sent. NotSent, also not
-// sent, counts as one.
+// countsAsNoTrip reports whether a result counts as no trip, because the call was not sent. NotSent counts as
+// a trip, although its call was not sent either.
 func countsAsNoTrip(result Result) bool { return result == LocalShortage || result == Recalled }
 
 // pauseForShortage pauses all sending after a call could not be sent because this sender ran short of a
--- a/rules/pace.go
+++ b/rules/pace.go
@@ -41,13 +41,13 @@
 	return max(evenShare, ownShare)
 }
 
-// maxServedRate returns an upper bound of the rate, in calls per millisecond, at which a route recently
+// maxHandledRate returns an upper bound of the rate, in calls per millisecond, at which a route recently
 // handled this sender's calls: the observed rate plus two standard deviations and two calls, because few
 // calls give only a rough estimate. The bound is infinite for a route that has been known for a short time
 // only.
-func (s *Sender) maxServedRate(r *route) float64 {
+func (s *Sender) maxHandledRate(r *route) float64 {
 	age := s.now - r.createdAt
-	if age < servedRateKnownAfter {
+	if age < handledRateKnownAfter {
 		return math.Inf(1)
 	}
 	windowShare := 1 - math.Exp(-float64(age/statisticsWindow)) // share of the window since the creation
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -24,11 +24,11 @@
 	bestDelayDrift = 0.01
 	// overdueDelays is the number of mean delays after which an outstanding call is overdue.
 	overdueDelays = 6.0
-	// silentTimeouts is the sum over the calls of a route of waiting time / overdueAfter at which the route
-	// counts as silent.
-	silentTimeouts = 6.0
-	// cancelAge is the multiple of the time after which a call is overdue, from which on it may be cancelled
-	// to free its slot.
+	// silentOverdueTotal is the sum over the calls of a route of waiting time / overdueAfter at which the
+	// route counts as silent.
+	silentOverdueTotal = 6.0
+	// cancelAge is the age above which a call may be cancelled to free its slot, as a multiple of the time
+	// after which it is overdue.
 	cancelAge = 2.0
 	// tokenShare is the highest number of tokens of a receiver, as a share of the slots.
 	tokenShare = 0.15
@@ -45,9 +45,9 @@
 	recoveryRateFactor = 1.5
 	// fewSenders is the number of senders up to which each uses just its part of the recovery rate.
 	fewSenders = 4.0
-	// servedShareScale is how near the earned share of a grade's credit must be to the lowest one of all
-	// grades to weigh like that grade.
-	servedShareScale = 0.2
+	// earnedShareScale is the difference between the earned shares of two grades' credit at which the grade
+	// with the lower share has e (2.7) times the weight of the other.
+	earnedShareScale = 0.2
 	// confirmingOverloadTimes is the number of overload times (Settings.OverloadTime) without a success after
 	// which an outage is confirmed.
 	confirmingOverloadTimes = 2.0
@@ -57,11 +57,11 @@
 	// than minLimitShare.
 	limitShareDecrease = 0.7
 	minLimitShare      = 1.0 / 16
-	// excessLossShare is the share of lost calls on idle connections, above idleLossFactor times the share
-	// on other connections, from which on idle connections are distrusted.
+	// excessLossShare says when idle connections are distrusted: when the share of calls lost on them exceeds
+	// idleLossFactor times the share lost on other connections by more than excessLossShare.
 	excessLossShare = 0.1
-	// ampleLimitRemaining is the share of a limit: a call that was refused with more of it left was not
-	// refused because of the limit.
+	// ampleLimitRemaining is the remaining share of a limit above which a call is not refused because of the
+	// limit.
 	ampleLimitRemaining = 0.5
 	// idleLossFactor multiplies the share of calls lost on other connections; see excessLossShare.
 	idleLossFactor = 3.0
@@ -78,8 +78,8 @@
 	// count as scarce.
 	minCallsPerKind = 8
 
-	// servedRateKnownAfter is the age of a route from which on its usual rate of handled calls is known.
-	servedRateKnownAfter Millis = statisticsWindow / 3
+	// handledRateKnownAfter is the age of a route from which on its usual rate of handled calls is known.
+	handledRateKnownAfter Millis = statisticsWindow / 3
 
 	// never is a time that does not come.
 	never = Millis(math.MaxFloat64)
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -50,7 +50,7 @@
 func TestDelayWindow(t *testing.T) {
 	trace := startTrace(t, testSettings(), entry(10, 1), entry(11, 1), entry(12, 1), entry(13, 1))
 	trace.omitSends = true
-	trace.note("eight slots: half of them at first, never more than three quarters")
+	trace.note("of eight slots, calls use half at first, and never more than three quarters")
 	for range 4 {
 		trace.accept(8, NoticeAccepted{Destination: 1})
 		trace.record("%d outstanding", len(trace.outstanding))
@@ -58,7 +58,7 @@
 			trace.endTrip(Handled)
 		}
 	}
-	trace.note("while the route is slow, half of them at most, and fewer with each response")
+	trace.note("while the route is slow, calls use half at most, and fewer with each response")
 	slow := func(e *TripEnded) { e.Duration = 3000 }
 	for range 4 {
 		trace.accept(8, NoticeAccepted{Destination: 1})
@@ -105,7 +105,7 @@
 	trace.advance(5300)
 	trace.endTrip(Reset)
 	trace.advance(1000)
-	trace.note("one that was held by a sender that died may have run in either zone")
+	trace.note("one that a failed sender had accepted may have run in either zone")
 	trace.accept(1, NoticeAccepted{Destination: 1, Grade: 1, Inherited: true})
 	trace.note("a reissuable one may be sent to either zone")
 	trace.advance(5000)
@@ -198,7 +198,7 @@
 // Connections count as scarce while too few calls were made to know whether the destination refuses them.
 func TestScarceConnections(t *testing.T) {
 	trace := startTrace(t, settingsWithSenders(20), entry(10, 1))
-	trace.note("one of twenty senders closes a connection after use, unless five calls came within IdleKept")
+	trace.note("one of twenty senders closes a used connection, unless five calls came within IdleTimeout")
 	for range 6 {
 		trace.accept(1, NoticeAccepted{Destination: 1})
 		trace.endTrip(Handled)
@@ -233,7 +233,7 @@
 	settings := testSettings()
 	settings.HoldLimit, settings.TotalCreditWeight = 10, 1
 	trace := startTrace(t, settings, entry(10, 1))
-	trace.note("the hold fills for one unavailable destination: the least expected credit is dismissed")
+	trace.note("the hold fills for one unavailable destination: notices with the least credit are dismissed")
 	trace.accept(1, NoticeAccepted{Destination: 1})
 	trace.endTrip(Full, requestWait(8000))
 	trace.accept(6, NoticeAccepted{Destination: 1, Grade: 2})
@@ -607,7 +607,7 @@
 	settings := testSettings()
 	settings.TotalCreditWeight = 1
 	trace := startTrace(t, settings, entry(10, 1), entry(20, 2))
-	trace.note("few large notices can fill memory or ledger: the lowest expected credit is dismissed")
+	trace.note("few large notices can fill memory or ledger: those with the least credit are dismissed")
 	trace.accept(1, NoticeAccepted{Destination: 1})
 	trace.endTrip(Full, requestWait(8000))
 	trace.accept(2, NoticeAccepted{Destination: 1, Grade: 2, SpaceShare: 0.3})
--- a/rules/serve.go
+++ b/rules/serve.go
@@ -7,8 +7,8 @@
 
 // This file chooses the notices to send and their receivers, and sets the timer for the next turn.
 
-// sendNotices sends the notices that may be sent now, the most urgent first. Reissuable notices go first to
-// routes that lose calls; see sendToBest.
+// sendNotices sends the notices that may be sent now, the most urgent first. At routes that lose calls,
+// reissuable notices come before all others; see sendToBest.
 func (s *Sender) sendNotices() {
 	var ready []*notice
 	for _, d := range s.waitingDestinations {
@@ -38,17 +38,18 @@
 	}
 }
 
-// byUrgency orders notices by falling urgency, and equal ones by their acceptance.
+// byUrgency orders notices by descending urgency, and equally urgent ones by their acceptance.
 func byUrgency(a, b *notice) int {
 	return cmp.Or(cmp.Compare(b.urgency, a.urgency), cmp.Compare(a.acceptOrder, b.acceptOrder))
 }
 
-// cancelOverdueCall cancels the most overdue call when the slots run out, or those for suspect routes. It
-// keeps calls without a response from using every slot until they time out. Usually a call is overdue by its
-// own overdueAfter, which is at least half a quoted time. When calls that are overdue by the mean delay of
-// their route (by that of all routes where their own has sent no response) use a quarter of the slots,
-// responses get lost and a quoted time is too long to wait: then the call that is most overdue by the mean
-// delay is cancelled.
+// cancelOverdueCall cancels the most overdue call when the slots run out, or those for suspect routes. So
+// calls without a response do not use every slot until they time out. Usually the call with the highest age
+// relative to its overdueAfter is cancelled. But overdueAfter is at least half a quoted time, which is too
+// long when responses get lost. Several calls that use a quarter of the slots, and have each waited for more
+// than overdueDelays mean delays, show such a loss: then the call that has waited for the most mean delays is
+// cancelled. The mean delay is that of the call's route, or of all routes if its own has handled no call. A
+// call is cancelled only if its age, measured in either way, is above cancelAge.
 func (s *Sender) cancelOverdueCall() {
 	var mostOverdue, slowest *call
 	maxAge, maxDelayAge, slowCalls := cancelAge, cancelAge, 0
@@ -86,7 +87,7 @@
 // receivers rank by a random tie-break of this sender: if all senders chose the first one of the list, it
 // would run out of connections. Receivers where the grade of the notice failed rank last. With
 // reissuableOnly, only reissuable notices are sent to routes that lose calls: they may be repeated, so they
-// test the route at no cost.
+// test the route without harm.
 func (s *Sender) sendToBest(n *notice, reissuableOnly bool) bool {
 	var best *receiver
 	var bestScore float64
@@ -139,8 +140,9 @@
 		rc.tokens--
 		rc.recentCalls.add(s.now, s.settings.IdleTimeout, 1)
 		s.advancePace(r)
-		hasCallOut := slices.ContainsFunc(r.outstanding, func(o *call) bool { return o.receiver == rc })
-		c.onIdleConnection = hasCallOut || s.now-rc.lastResponseAt > s.settings.OverloadTime/4
+		hasOutstandingCall := slices.ContainsFunc(r.outstanding,
+			func(o *call) bool { return o.receiver == rc })
+		c.onIdleConnection = hasOutstandingCall || s.now-rc.lastResponseAt > s.settings.OverloadTime/4
 		if c.onIdleConnection && s.distrustsIdleConnections() {
 			c.onIdleConnection = false
 			s.emit(LetGo{rc.id})
--- a/rules/state.go
+++ b/rules/state.go
@@ -52,10 +52,10 @@
 // call is one HTTP request to a receiver, which may carry several notices.
 type call struct {
 	receiver                   *receiver
-	sentAt, overdueAfter       Millis // the call is overdue when it has been out for overdueAfter
+	sentAt, overdueAfter       Millis // it is overdue when it has been outstanding for overdueAfter
 	notices                    []*notice
-	pendingOutcomes            int // notices without an outcome yet
-	recorded, trial, cancelled bool
+	pendingOutcomes            int  // notices without an outcome yet
+	recorded, trial, cancelled bool // recorded: counted; trial: sent while the breaker was half-open
 	onIdleConnection           bool // the call was sent on a connection that may have been idle
 	timeoutShortened           bool // the client timeout shortened the timeout of the call
 }
@@ -114,8 +114,9 @@
 	// maxRateBeforeOutage is an upper bound of the rate, in calls per millisecond, at which the route handled
 	// calls when the present or the last outage began.
 	maxRateBeforeOutage float64
-	// outageSince and lastOutageSignAt are the first and the last sign of an outage since the last success of
-	// a call that was sent after such a sign. Without one, outageSince is never.
+	// outageSince is the time of the first sign of the present outage, or never. lastOutageSignAt is the time
+	// of the last sign, or the end of the wait if the route has one then. The outage ends when a call
+	// succeeds that was sent at or after lastOutageSignAt.
 	outageSince, lastOutageSignAt Millis
 	// recoveredAt is the end of the last outage, as far as this sender saw it, and outageDuration its length.
 	recoveredAt, outageDuration Millis
@@ -137,8 +138,9 @@
 	zones        []ZoneID // in which its receivers were ever listed
 
 	waiting []*notice // held notices without a call, in no order
-	// unrestricted is the heap of the waiting notices that neither an earlier trip, a cooldown nor a key
-	// delays. The first to expire is at the front.
+	// unrestricted is the heap of the waiting notices that could be sent to any receiver at once: those that
+	// have no key, have trips left and no delay before the next one, and of which no trip may have run. The
+	// first to expire is at the front.
 	unrestricted byExpiry
 	restricted   []*notice // the other waiting notices
 	waitingIndex int       // in Sender.waitingDestinations
@@ -166,7 +168,7 @@
 	weight                        float64
 }
 
-// notice is a notice that this sender holds, or that ended while its call was out.
+// notice is a notice that this sender holds, or that ended while its call was outstanding.
 type notice struct {
 	id                                NoticeID
 	grade                             *grade
@@ -174,8 +176,8 @@
 	key                               KeyID
 	credit, urgency, spaceShare       float64
 	quotedUntil, expiresAt, notBefore Millis // expiresAt is the client timeout
-	// surelyInTimeUntil is the latest time at which a response can be read that certainly came before
-	// expiresAt, however long this notice waited to be read.
+	// surelyInTimeUntil is the latest time at which a response that is read certainly came before expiresAt,
+	// however long the notice or the response itself waited to be read.
 	surelyInTimeUntil       Millis
 	trips, possibleRuns     int // possibleRuns counts the trips that may have run
 	currentCall             *call
@@ -211,7 +213,7 @@
 	return n
 }
 
-// connectionStats counts calls and those of them that were lost. recordConnection tells what counts as lost.
+// connectionStats counts calls and those of them that were lost; recordConnection defines which were.
 type connectionStats struct{ calls, lost decayingSum }
 
 // kind is a kind of destination with statistics of the calls to all destinations of this kind.
@@ -450,8 +452,8 @@
 	return s.active
 }
 
-// releaseNotice ends a notice and frees what it takes. While its call is out, the notice keeps its place in
-// the queue of its key.
+// releaseNotice ends a notice and frees what it takes. While its call is outstanding, the notice keeps its
+// place in the queue of its key.
 func (s *Sender) releaseNotice(n *notice) {
 	if !n.ended {
 		n.ended = true
@@ -496,10 +498,10 @@
 }
 
 // cleanUp deletes state that is no longer needed, so that the memory of a long-running sender does not grow:
-// receivers that are gone from the list and have no outstanding call, keys without notices or a cooldown, and
-// routes without receivers. The last route of a destination is kept while the destination has held notices, a
-// wait, or had a receiver within the breaker's statistics window: so the state of its breaker survives when
-// all its receivers are replaced.
+// receivers that are gone from the list and have neither an outstanding call nor a requested wait, keys
+// without notices or a cooldown, and routes without receivers. The last route of a destination is kept while
+// the destination has held notices, a wait, or had a receiver within the breaker's statistics window: so the
+// state of its breaker survives when all its receivers are replaced.
 func (s *Sender) cleanUp() {
 	if s.now < s.cleanUpAt {
 		return
--- a/rules/waits_test.go
+++ b/rules/waits_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // separateRouteEntry returns the list entry of a receiver that is a separate route.
-func separateRouteEntry(id ReceiverID, standing ReceiverStatus) Entry {
-	return Entry{Receiver: id, Destination: 1, Kind: 1, Status: standing, ListedRate: 20}
+func separateRouteEntry(id ReceiverID, status ReceiverStatus) Entry {
+	return Entry{Receiver: id, Destination: 1, Kind: 1, Status: status, ListedRate: 20}
 }
 
 func TestWaitOfSeparateRouteOutlivesItsRemoval(t *testing.T) {
