--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,5 @@
 // Package clock measures by how much the wall clock was stepped between two moments, also across processes. Times
-// that are stored beyond the life of a process are wall clock times, and a step must not change the durations
-// between them.
+// that are stored for a later process are wall clock times, and a step must not change the durations between them.
 package clock
 
 import (
@@ -15,7 +14,8 @@
 // clocks are read one after the other.
 const minStep = 10 * time.Millisecond
 
-// The two clocks are read again if reading them took longer than maxReadTime, up to maxReadAttempts times in all.
+// The two clocks are read again if reading them took longer than maxReadTime, because the delay between the readings
+// would look like a step. They are read maxReadAttempts times at most.
 const (
 	maxReadTime     = time.Millisecond
 	maxReadAttempts = 10
@@ -47,8 +47,7 @@
 	return Clock{bootID[:min(len(bootID), bootIDLength)]}
 }
 
-// Now returns the current moment. Its Boot is empty without a monotonic clock that all processes of the machine
-// share.
+// Now returns the current moment. Its Boot is empty if the boot id or the monotonic clock can't be read.
 func (c Clock) Now() Moment {
 	wall := time.Now()
 	monotonic, known := c.monotonic()
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -22,10 +22,10 @@
 // ErrFull reports that the ledger's capacity does not allow another notice.
 var ErrFull = errors.New("the ledger is full")
 
-// Trip is an attempt to deliver a notice that was started and may have taken effect at the receiver.
+// Trip is a delivery attempt that was started and may have taken effect at the receiver.
 type Trip struct {
-	At   time.Time
-	Zone string
+	At   time.Time // by the wall clock as it stood when the notice was accepted
+	Zone string    // of the receiver
 }
 
 // Notice is a notice as the ledger stores it. Fields tagged `json:"-"` are stored in other parts of the records; the
@@ -38,7 +38,7 @@
 	Portfolio   string `json:",omitempty"`
 	Key         rules.KeyID
 	Destination rules.DestinationID
-	Until       time.Time    // client timeout, by the wall clock
+	Until       time.Time    // client timeout, by the wall clock as of TakenAt
 	TakenAt     clock.Moment // when it was accepted; steps of the wall clock are measured from here
 	WaitedMS    int64        `json:",omitempty"` // upper bound of the time that the request waited before it was read
 	Inherited   bool         `json:",omitempty"` // another sender accepted it before and failed
@@ -64,7 +64,7 @@
 // The kinds of record. Each record consists of the length and the CRC-32 checksum of its body, and of the body: the
 // kind, the notice's number and a payload that depends on the kind. Numbers are little-endian.
 const (
-	kindAccepted    = 'n' // payload: length of the JSON, JSON, body
+	kindAccepted    = 'n' // payload: length of the JSON, JSON, the notice's body
 	kindTrip        = 't' // payload: Unix milliseconds, zone
 	kindNotRun      = 'u' // the last trip is known not to have run
 	kindOutcome     = 'e' // payload: retry time in milliseconds, outcome
@@ -85,12 +85,12 @@
 	stateDir        string
 	capacity        int64
 	file            *os.File
-	size            int64
-	liveBytes       int64
+	size            int64 // of the file, in bytes
+	liveBytes       int64 // of the live acceptance records, with reservedPerNotice for each notice
 	notices         map[rules.NoticeID]*liveRecords
-	pending         []byte           // records that are not written yet
-	unwritten       []rules.NoticeID // notices whose acceptance is among the pending records
-	needsCompaction bool             // pending records were dropped after a failed write
+	buffered        []byte           // records that are not in the file yet
+	bufferedNotices []rules.NoticeID // notices whose acceptance is among the buffered records
+	needsCompaction bool             // buffered records were dropped after a failed write
 	Torn            int              // unreadable bytes at the end of the file that an earlier process left
 }
 
@@ -234,7 +234,7 @@
 	if l.liveBytes+needed > l.capacity*2/5 {
 		return ErrFull
 	}
-	if l.size+int64(len(l.pending))+needed > l.capacity/2 || l.needsCompaction {
+	if l.size+int64(len(l.buffered))+needed > l.capacity/2 || l.needsCompaction {
 		if err := l.Compact(); err != nil {
 			return err
 		}
@@ -247,8 +247,8 @@
 
 // CapacityShare returns the part of a ledger's capacity for live notices that a typical notice with a body of the given
 // size uses.
-func CapacityShare(capacity int64, body int) float64 {
-	return float64(headerSize+minRecordLen+4+typicalOverhead+body) / float64(capacity*2/5)
+func CapacityShare(capacity int64, bodySize int) float64 {
+	return float64(headerSize+minRecordLen+4+typicalOverhead+bodySize) / float64(capacity*2/5)
 }
 
 // RecordTrip records that a call is about to be sent. The record is in the file when RecordTrip returns.
@@ -262,8 +262,8 @@
 
 // RecordOutcome records a notice's final outcome, which is kept until RecordClosed. The record is in the file when
 // RecordOutcome returns.
-func (l *Ledger) RecordOutcome(number rules.NoticeID, outcome string, retryMS float64) error {
-	payload := binary.LittleEndian.AppendUint32(nil, uint32(min(max(retryMS, 0), 1e9)))
+func (l *Ledger) RecordOutcome(number rules.NoticeID, outcome string, retryAfterMS float64) error {
+	payload := binary.LittleEndian.AppendUint32(nil, uint32(min(max(retryAfterMS, 0), 1e9)))
 	return l.append(number, kindOutcome, append(payload, outcome...))
 }
 
@@ -278,24 +278,26 @@
 // Size returns the size of the file in bytes.
 func (l *Ledger) Size() int64 { return l.size }
 
-// append adds a record. Records of trips and of final outcomes are written at once. The others stay pending until
+// append adds a record. Records of trips and of final outcomes are written at once. The others stay buffered until
 // the next such record or Flush, so that the records of a turn of the loop need as few writes as possible.
 func (l *Ledger) append(number rules.NoticeID, kind byte, payload []byte) error {
-	start := len(l.pending)
-	l.pending = appendRecord(l.pending, number, kind, payload)
-	record := l.pending[start:]
-	if kind != kindAccepted && l.size+int64(len(l.pending)) > l.capacity/2+l.capacity/20 {
-		l.pending = l.pending[:start]
+	start := len(l.buffered)
+	l.buffered = appendRecord(l.buffered, number, kind, payload)
+	record := l.buffered[start:]
+	// The old file and its compacted copy, of up to 2/5 of the capacity, must fit into the capacity together. Later
+	// records of accepted notices may grow the file a little beyond the limit for acceptances.
+	if kind != kindAccepted && l.size+int64(len(l.buffered)) > l.capacity/2+l.capacity/20 {
+		l.buffered = l.buffered[:start]
 		if err := l.Compact(); err != nil {
 			return err
 		}
 		start = 0
-		l.pending = appendRecord(l.pending, number, kind, payload)
-		record = l.pending
+		l.buffered = appendRecord(l.buffered, number, kind, payload)
+		record = l.buffered
 	}
 	if kind == kindTrip || kind == kindOutcome {
-		if err := l.writePending(); err != nil {
-			l.pending = l.pending[:start]
+		if err := l.writeBuffered(); err != nil {
+			l.buffered = l.buffered[:start]
 			return err
 		}
 	}
@@ -305,7 +307,7 @@
 	default:
 		l.apply(number, kind, record)
 		if kind == kindAccepted {
-			l.unwritten = append(l.unwritten, number)
+			l.bufferedNotices = append(l.bufferedNotices, number)
 		}
 	}
 	if kind == kindTrip || kind == kindOutcome {
@@ -314,41 +316,41 @@
 	return nil
 }
 
-// writePending writes the pending records to the file. After a partial write the file is truncated to its old size:
+// writeBuffered writes the buffered records to the file. After a partial write the file is truncated to its old size:
 // some of the records may be complete, and a notice that is rejected must not be restored after a restart.
-func (l *Ledger) writePending() error {
-	if _, err := l.file.WriteAt(l.pending, l.size); err != nil {
+func (l *Ledger) writeBuffered() error {
+	if _, err := l.file.WriteAt(l.buffered, l.size); err != nil {
 		l.file.Truncate(l.size)
 		return fmt.Errorf("writing the ledger: %w", err)
 	}
 	return nil
 }
 
-// markWritten notes that the pending records are in the file.
+// markWritten notes that the buffered records are in the file.
 func (l *Ledger) markWritten() {
-	l.size += int64(len(l.pending))
-	l.pending, l.unwritten = l.pending[:0], l.unwritten[:0]
+	l.size += int64(len(l.buffered))
+	l.buffered, l.bufferedNotices = l.buffered[:0], l.bufferedNotices[:0]
 }
 
-// Flush writes the pending records. If that fails, it forgets the notices whose acceptance is not in the file and
+// Flush writes the buffered records. If that fails, it forgets the notices whose acceptance is not in the file and
 // returns them: their clients must not be told that they were accepted.
 func (l *Ledger) Flush() (lost []rules.NoticeID, err error) {
-	if len(l.pending) == 0 {
+	if len(l.buffered) == 0 {
 		return nil, nil
 	}
 	if l.needsCompaction {
 		err = l.Compact()
 	} else {
-		err = l.writePending()
+		err = l.writeBuffered()
 	}
 	if err != nil {
-		lost = slices.Clone(l.unwritten)
+		lost = slices.Clone(l.bufferedNotices)
 		for _, number := range lost {
 			l.forget(number)
 		}
-		// The other pending records are of closed notices or of trips that did not run. The next compaction covers
+		// The other buffered records are of closed notices or of trips that did not run. The next compaction covers
 		// them.
-		l.pending, l.unwritten, l.needsCompaction = l.pending[:0], l.unwritten[:0], true
+		l.buffered, l.bufferedNotices, l.needsCompaction = l.buffered[:0], l.bufferedNotices[:0], true
 		return lost, err
 	}
 	l.markWritten()
@@ -402,7 +404,7 @@
 	}
 }
 
-// Compact writes the live records, with those still pending, to a new file and renames it over the old one.
+// Compact writes the live records, with those that are still buffered, to a new file and renames it over the old one.
 func (l *Ledger) Compact() error {
 	numbers := make([]rules.NoticeID, 0, len(l.notices))
 	for number := range l.notices {
@@ -414,7 +416,8 @@
 		records := l.notices[number]
 		data = append(data, records.accepted...)
 		if records.tripsNotRun > 0 {
-			data = appendRecord(data, number, kindTripsNotRun, binary.LittleEndian.AppendUint32(nil, records.tripsNotRun))
+			data = appendRecord(data, number, kindTripsNotRun,
+				binary.LittleEndian.AppendUint32(nil, records.tripsNotRun))
 		}
 		for _, trip := range records.trips {
 			data = append(data, trip...)
@@ -437,12 +440,12 @@
 		l.file.Close()
 	}
 	l.file, l.size = newFile, int64(len(data))
-	// The pending records were written as part of the live ones.
-	l.pending, l.unwritten, l.needsCompaction = l.pending[:0], l.unwritten[:0], false
+	// The buffered records were written as part of the live ones.
+	l.buffered, l.bufferedNotices, l.needsCompaction = l.buffered[:0], l.bufferedNotices[:0], false
 	return nil
 }
 
-// Close writes the pending records and closes the file.
+// Close writes the buffered records and closes the file.
 func (l *Ledger) Close() error {
 	_, err := l.Flush()
 	return errors.Join(err, l.file.Close())
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -72,7 +72,7 @@
 	l.file = readOnlyFile
 	failOnError(t, l.RecordClosed(1), l.RecordAccepted(newNotice(3, "three")))
 	if l.RecordTrip(3, Trip{startTime, "a"}) == nil {
-		t.Error("Trip returned no error although the file is not writable")
+		t.Error("RecordTrip returned no error although the file is not writable")
 	}
 	lost, err := l.Flush()
 	if diff := cmp.Diff([]rules.NoticeID{3}, lost); err == nil || diff != "" {
@@ -81,7 +81,7 @@
 	l.file = writableFile
 	failOnError(t, l.RecordAccepted(newNotice(4, "four")), flush(l))
 	if _, got := openLedger(t, stateDir, 1<<20); got != "id-4 to 7 \"four\" trips 0 ran  0\n" {
-		t.Errorf("pending notices after the file became writable again: %s", got)
+		t.Errorf("pending notices after the file became writable again: %q, want only the fourth", got)
 	}
 }
 
@@ -104,7 +104,7 @@
 `
 	_, got := openLedger(t, stateDir, 1<<20)
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("-want +got:\n%s", diff)
+		t.Errorf("pending notices after a restart, -want +got:\n%s", diff)
 	}
 }
 
@@ -123,10 +123,11 @@
 		failOnError(t, os.WriteFile(path, data[:size], 0o600))
 		l, got := openLedger(t, stateDir, 1<<20)
 		if diff := cmp.Diff("id-1 to 7 \"one\" trips 0 ran  0\n", got); diff != "" {
-			t.Fatalf("%d bytes of the second record: %s", size-firstRecordEnd, diff)
+			t.Fatalf("%d bytes of the second record: pending notices, -want +got:\n%s", size-firstRecordEnd, diff)
 		}
 		if l.Torn != int(size-firstRecordEnd) {
-			t.Fatalf("%d bytes of the second record: Torn is %d", size-firstRecordEnd, l.Torn)
+			t.Fatalf("%d bytes of the second record: Torn is %d, want the number of these bytes",
+				size-firstRecordEnd, l.Torn)
 		}
 		failOnError(t, l.RecordAccepted(newNotice(5, "five")), flush(l))
 		if _, got = openLedger(t, stateDir, 1<<20); !strings.Contains(got, "five") {
@@ -165,7 +166,7 @@
 		failOnError(t, l.RecordAccepted(newNotice(number, body)), l.RecordTrip(number, Trip{startTime, "a"}),
 			l.RecordClosed(number))
 		if size := diskUsage(t, stateDir); size > capacity {
-			t.Fatalf("%d bytes on disk", size)
+			t.Fatalf("%d bytes on disk, more than the capacity", size)
 		}
 	}
 	live := 0
@@ -182,7 +183,7 @@
 			failOnError(t, l.RecordTrip(n, Trip{startTime, "a"}), l.RecordNotRun(n))
 		}
 		if size := diskUsage(t, stateDir); size > capacity {
-			t.Fatalf("%d bytes on disk with a full ledger", size)
+			t.Fatalf("%d bytes on disk with a full ledger, more than the capacity", size)
 		}
 	}
 	failOnError(t, flush(l))
