--- a/internal/calls/answers.go
+++ b/internal/calls/answers.go
@@ -100,7 +100,8 @@
 		switch {
 		case conn.unsolicited:
 			p.retractContradicted(conn, anyExchange)
-		case conn.reused() && len(conn.statuses) > 0: // it may also be the late response to the abandoned call
+		case conn.reused() && len(conn.statuses) > 0:
+			// The response may also belong to the abandoned call, so confirmed outcomes are not retracted.
 			p.retractContradicted(conn, isUnconfirmed)
 			p.confirm(conn, anyExchange)
 		}
@@ -120,8 +121,8 @@
 	}
 }
 
-// collectStatuses looks for status lines in the bytes received for a call. After the head of the call's response
-// they belong to another response.
+// collectStatuses collects the statuses of the status lines in bytes received for a call. Those after the head of the
+// call's response belong to another response, and may contradict earlier outcomes.
 func (p *Pool) collectStatuses(conn *connection, data []byte) {
 	if conn.readingBody {
 		conn.statuses = conn.statuses[:0]
@@ -151,7 +152,8 @@
 	return status == http.StatusOK || slices.Contains(conn.statuses, http.StatusOK)
 }
 
-// appendStatuses appends the status of each status line found in data, except for interim (1xx) responses.
+// appendStatuses appends the status of each status line found in data, except for interim (1xx) responses. A status
+// line that data contains only in part is not found.
 func appendStatuses(statuses []int, data []byte) []int {
 	const version, statusLine = "HTTP/1.", "HTTP/1.1 200"
 	for {
@@ -197,8 +199,8 @@
 	if len(trailing) > 0 && !message.Close {
 		p.ResponsesWithTrailingBytes++
 	}
-	// A call must have ended at its receiver before it is sent again. Its connection is closed then, instead of
-	// being kept for late responses.
+	// An ambiguous call without a response of status 200 may be sent again, and must have ended at its receiver by
+	// then. So its connection is closed, instead of being kept open for late responses.
 	mayBeRetried := conn.call != nil && conn.contradicted(message.Status) && !conn.mayBeDelivered(message.Status)
 	if conn.call != nil {
 		p.recordOutcome(conn, message)
@@ -226,7 +228,7 @@
 	}
 }
 
-// recordOutcome ends the call of a connection with the outcome that the head of its response implies. It is
+// recordOutcome ends the call of a connection with the outcome that the head of its response implies. The outcome is
 // ambiguous if the response may belong to another call.
 func (p *Pool) recordOutcome(conn *connection, message *http1.Message) {
 	outcome := rules.TripEnded{Result: rules.Errored}
@@ -272,7 +274,8 @@
 }
 
 // parseLoadReport parses the value of a Server-Load header, for example "x0=0.4,x1=25". The rules use the first two
-// names: the share of the receiver's limit that is left, and the rate of the limit in calls per second.
+// names: the share of the receiver's limit that is left, and the rate of the limit in calls per second. If any value is
+// not a finite number, nothing is reported.
 func (p *Pool) parseLoadReport(text string) (reported bool, capacityLeft, rate float64) {
 	if text == "" || len(p.loadReportNames) < 2 {
 		return false, 0, 0
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -1,5 +1,6 @@
-// Package calls keeps the HTTP connections to receivers and carries each call to its outcome. It decides nothing
-// itself: the owner of the Pool starts every call, and collects the outcomes, requested waits and other reports.
+// Package calls keeps the HTTP connections to receivers, sends calls on them and determines the outcome of each call.
+// It does not decide which calls are made: the owner of the Pool starts every call, and collects the outcomes,
+// requested waits and other reports.
 package calls
 
 import (
@@ -36,7 +37,7 @@
 	deadline   time.Time // StartedAt + Timeout
 	heapIndex  int       // in Pool.deadlines
 	connection *connection
-	written    bool // the whole request was handed to the connection
+	written    bool // the whole request was passed to the connection's Write
 }
 
 // connection is one connection to a receiver.
@@ -55,14 +56,15 @@
 	lateBytes    int            // bytes received since the connection became receiveOnly
 	unsolicited  bool           // receiveOnly because bytes arrived that no call had asked for
 	retired      bool           // not used again, and closed once no late response can come any more
-	// statuses holds the status of every response received since the last call was written. It is kept only on reused
-	// connections, where a response may belong to an earlier call.
+	// statuses holds the statuses of the responses received since the last call was written. It is kept only on reused
+	// connections, where a response may belong to an earlier call. While readingBody or receiveOnly is set, it holds
+	// only those in the bytes received last.
 	statuses   []int
-	stateSince time.Time // when the connection last became busy, idle or receiveOnly
+	stateSince time.Time // when the connection was dialled, or last became busy, idle or receiveOnly
 	writtenAt  time.Time // when the last call was written
 	lastRead   time.Time // when the last bytes were received
-	// settledAt is when the connection may carry another call: SettleTime after its last response, in which late or
-	// duplicate responses would show.
+	// settledAt is when the connection may carry another call: limits.SettleTime after its last response. Late or
+	// duplicate responses usually arrive in that time.
 	settledAt time.Time
 	exchanges []exchange // answered calls whose responses may belong to other calls
 	// waitUntil is the end of the wait that the response being read has requested; zero: none.
@@ -102,9 +104,9 @@
 	// unread.
 	lagged bool
 
-	MalformedResponses         int // malformed responses
-	ResponsesWithTrailingBytes int // well-formed responses followed by more bytes
-	StaleConnections           int // idle connections found closed, or with unsolicited bytes on them
+	MalformedResponses         int // responses that were malformed or truncated before their call had an outcome
+	ResponsesWithTrailingBytes int // complete responses that did not announce a close, followed by more bytes
+	StaleConnections           int // times that an idle connection had unread bytes or was closed when it was needed
 	UnsolicitedReads           int // times that unsolicited bytes arrived, including bytes that follow a response
 }
 
@@ -112,18 +114,18 @@
 type Hooks struct {
 	// Record is called just before a call is written. If it returns an error, the call is not sent.
 	Record func(*Call) error
-	// ConfirmTime returns how long after a response of a receiver the correct one would arrive, if the first
-	// belonged to another call.
+	// ConfirmTime returns how long after a response of a receiver its outcome counts as confirmed: if the response
+	// belonged to another call, the correct one would have arrived by then.
 	ConfirmTime func(receiver rules.ReceiverID) time.Duration
-	// WaitsToSettle reports whether a call waits for a connection that has settled after left, instead of opening a
-	// new connection. The last new connection to the receiver took comesUp to connect.
-	WaitsToSettle func(receiver rules.ReceiverID, left, comesUp time.Duration) bool
+	// WaitsToSettle reports whether a call waits for an idle connection that will have settled in settlesIn, instead
+	// of opening a new one. The last new connection to the receiver took connectTime to connect.
+	WaitsToSettle func(receiver rules.ReceiverID, settlesIn, connectTime time.Duration) bool
 }
 
-// New returns a Pool without connections. report names the values of a load report in the order in which the rules
-// use them. SetNet must be called before the first Send.
-func New(resources limits.Limits, pool *buffers.Pool, report []string, log *slog.Logger, hooks Hooks) *Pool {
-	return &Pool{limits: resources, buffers: pool, loadReportNames: report, hooks: hooks, log: log,
+// New returns a Pool without connections. loadReportNames names the values of a load report in the order in which the
+// rules use them. SetNet must be called before the first Send.
+func New(resources limits.Limits, pool *buffers.Pool, loadReportNames []string, log *slog.Logger, hooks Hooks) *Pool {
+	return &Pool{limits: resources, buffers: pool, loadReportNames: loadReportNames, hooks: hooks, log: log,
 		tracing: log.Enabled(context.Background(), slog.LevelDebug), outstanding: map[rules.NoticeID]*Call{},
 		byDestination: map[rules.DestinationID][]*Call{}, connections: map[*sockets.Conn]*connection{},
 		idle: map[rules.ReceiverID][]*connection{}, connectTimes: map[rules.ReceiverID]time.Duration{}}
@@ -132,8 +134,8 @@
 // SetNet sets the network through which connections are opened.
 func (p *Pool) SetNet(net *sockets.Net) { p.net = net }
 
-// BeginTurn starts a turn of the owner's loop at now, and notes whether the last one was longer ago than
-// limits.MaxTurnLag.
+// BeginTurn starts a turn of the owner's loop at now, and records whether the time that was set last is longer ago than
+// limits.MaxTurnLag, so that the process may have been paused.
 func (p *Pool) BeginTurn(now time.Time) {
 	p.lagged = now.Sub(p.now) > p.limits.MaxTurnLag
 	p.now = now
@@ -156,6 +158,7 @@
 }
 
 // Send starts a call on an idle connection that has settled, else on one that settles soon, else on a new connection.
+// After a pause of the process, it recalls the call if a response of the same destination is unread.
 func (p *Pool) Send(call *Call) {
 	call.StartedAt, call.deadline = p.now, p.now.Add(call.Timeout)
 	p.outstanding[call.Notice] = call
@@ -203,7 +206,8 @@
 	return established
 }
 
-// RequestedWaits returns the waits requested since it was last called by responses that are not complete yet.
+// RequestedWaits returns the waits requested since it was last called by responses that are not complete yet, or that
+// came too late for their calls.
 func (p *Pool) RequestedWaits() []rules.WaitRequested {
 	waits := p.requestedWaits
 	p.requestedWaits = nil
@@ -257,8 +261,8 @@
 	p.finishWithResult(call, rules.Recalled)
 }
 
-// write records and writes the call of a connection. Bytes that have arrived on a reused connection by then would
-// be taken for the call's response, so the call is recalled instead.
+// write records and writes the call of a connection. If it can't be recorded, it ends as a local shortage. Bytes that
+// have arrived on a reused connection by then would be taken for the call's response, so the call is recalled instead.
 func (p *Pool) write(conn *connection) {
 	call := conn.call
 	if err := p.hooks.Record(call); err != nil {
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -94,7 +94,8 @@
 	}
 	first, _, _ := strings.Cut(response, "\r\n")
 	for _, ended := range h.pool.Ended() {
-		fmt.Fprintf(&h.trace, "%d %.24q: result %d, wait %.0f, load report %v, over %v, %d connections, %d idle\n",
+		fmt.Fprintf(
+			&h.trace, "%d %.24q: result %d, wait %.0f, load report %v, notice ended %v, %d connections, %d idle\n",
 			ended.Notice, first, ended.Result, ended.RequestedWait, ended.LimitReported, ended.NoticeEnded,
 			len(h.accepted), len(h.pool.idle[0]))
 	}
@@ -116,7 +117,7 @@
 func (h *harness) checkTrace(want string) {
 	h.t.Helper()
 	if diff := cmp.Diff(strings.TrimSpace(want), strings.TrimSpace(h.trace.String())); diff != "" {
-		h.t.Errorf("-want +got:\n%s", diff)
+		h.t.Errorf("trace differs (-want +got):\n%s", diff)
 	}
 }
 
@@ -125,7 +126,7 @@
 
 // An idle connection that was closed since the last turn, or on which unsolicited bytes arrived, is not used: the
 // call would fail without need, or be recorded with a response that is not its own.
-func TestNotQuietWhileIdle(t *testing.T) {
+func TestIdleConnectionThatClosedOrReceivedBytesIsNotUsed(t *testing.T) {
 	h := newHarness(t)
 	h.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
 	h.deliver("HTTP/1.1 200 OK\r\n" + shortBody)
@@ -136,10 +137,10 @@
 	time.Sleep(100 * time.Millisecond) // received, but the pool has not read it yet
 	h.deliver("HTTP/1.1 503 Full\r\n" + shortBody)
 	h.checkTrace(`
-1 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
-2 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
-3 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
-4 "HTTP/1.1 503 Full": result 2, wait 0, load report false, over false, 1 connections, 1 idle
+1 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 1 connections, 1 idle
+2 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 1 connections, 1 idle
+3 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 1 connections, 1 idle
+4 "HTTP/1.1 503 Full": result 2, wait 0, load report false, notice ended false, 1 connections, 1 idle
 `)
 }
 
@@ -181,32 +182,32 @@
 		}
 	}
 	h.checkTrace(`
-1 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 1 connections, 1 idle
-2 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 2 connections, 0 idle
-3 "HTTP/1.1 503 Full": result 2, wait 0, load report false, over false, 3 connections, 0 idle
-4 "HTTP/1.1 100 Continue": result 2, wait 500, load report true, over false, 4 connections, 1 idle
-5 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 5 connections, 0 idle
-6 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 6 connections, 0 idle
-7 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 7 connections, 0 idle
-8 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 8 connections, 0 idle
-9 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 9 connections, 0 idle
-10 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 10 connections, 0 idle
-11 "HTTP/1.1 200 OK": result 0, wait 0, load report false, over true, 11 connections, 0 idle
-12 "HTTP/1.1 OK 200": result 5, wait 0, load report false, over false, 12 connections, 0 idle
-13 "HTTP/1.1 2x0 OK": result 5, wait 0, load report false, over false, 13 connections, 0 idle
-14 "HTTP/1.1 200": result 3, wait 0, load report false, over false, 14 connections, 0 idle
-15 "HTTP/1.1 503 Full": result 5, wait 0, load report false, over false, 15 connections, 0 idle
-16 "HTTP/1.1 503 Full": result 5, wait 0, load report false, over false, 16 connections, 0 idle
-17 "HTTP/1.1 503 Full": result 5, wait 0, load report false, over false, 17 connections, 0 idle
-18 "HTTP/1.1 504 Used up": result 5, wait 0, load report false, over false, 18 connections, 0 idle
-19 "HTTP/1.1 429 Wait": result 5, wait 500, load report false, over false, 19 connections, 0 idle
-20 "HTTP/1.1 410 Over": result 3, wait 0, load report false, over false, 20 connections, 0 idle
-21 "HTTP/1.1 101 Switching": result 5, wait 0, load report false, over false, 21 connections, 0 idle
+1 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 1 connections, 1 idle
+2 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 2 connections, 0 idle
+3 "HTTP/1.1 503 Full": result 2, wait 0, load report false, notice ended false, 3 connections, 0 idle
+4 "HTTP/1.1 100 Continue": result 2, wait 500, load report true, notice ended false, 4 connections, 1 idle
+5 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 5 connections, 0 idle
+6 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 6 connections, 0 idle
+7 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 7 connections, 0 idle
+8 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 8 connections, 0 idle
+9 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 9 connections, 0 idle
+10 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 10 connections, 0 idle
+11 "HTTP/1.1 200 OK": result 0, wait 0, load report false, notice ended true, 11 connections, 0 idle
+12 "HTTP/1.1 OK 200": result 5, wait 0, load report false, notice ended false, 12 connections, 0 idle
+13 "HTTP/1.1 2x0 OK": result 5, wait 0, load report false, notice ended false, 13 connections, 0 idle
+14 "HTTP/1.1 200": result 3, wait 0, load report false, notice ended false, 14 connections, 0 idle
+15 "HTTP/1.1 503 Full": result 5, wait 0, load report false, notice ended false, 15 connections, 0 idle
+16 "HTTP/1.1 503 Full": result 5, wait 0, load report false, notice ended false, 16 connections, 0 idle
+17 "HTTP/1.1 503 Full": result 5, wait 0, load report false, notice ended false, 17 connections, 0 idle
+18 "HTTP/1.1 504 Used up": result 5, wait 0, load report false, notice ended false, 18 connections, 0 idle
+19 "HTTP/1.1 429 Wait": result 5, wait 500, load report false, notice ended false, 19 connections, 0 idle
+20 "HTTP/1.1 410 Over": result 3, wait 0, load report false, notice ended false, 20 connections, 0 idle
+21 "HTTP/1.1 101 Switching": result 5, wait 0, load report false, notice ended false, 21 connections, 0 idle
 `)
 }
 
-// If the process was paused while a connection was being established, the call is not written any more: what the
-// rules have been told since it was started may forbid it.
+// If the process was paused while a connection was being established, the call is not written any more: events that
+// the rules have processed since the call was started may forbid it.
 func TestConnectionEstablishedTooLate(t *testing.T) {
 	h := newHarness(t)
 	now := time.Now()
--- a/internal/calls/connections.go
+++ b/internal/calls/connections.go
@@ -11,7 +11,7 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// This file follows connections from their opening to their close.
+// This file opens and closes connections and handles their failures.
 
 // closeOldest closes one connection to make space for another and reports whether it did. It prefers a connection
 // that sends no more calls and awaits no late response, then an idle one, then one that still awaits a late
@@ -119,7 +119,7 @@
 
 // connectionFailed closes a connection that ended or sent a malformed response, and ends its call, if any. Of an
 // incomplete or malformed response only a status of 200 counts: with any other status the call may have run. A wait
-// that a status of 429 or 503 requests is still followed.
+// requested with status 429 or 503 is still reported.
 func (p *Pool) connectionFailed(conn *connection, reason string) {
 	call, status, begun := conn.call, conn.parser.Status(), conn.parser.Begun()
 	outcome := rules.TripEnded{Result: rules.Reset}
@@ -221,7 +221,8 @@
 }
 
 // Sweep confirms outcomes that are due. It closes connections that have been idle too long, before their receivers
-// would close them, and connections on which the rest of a response did not arrive within limits.RemainderTime.
+// would close them, connections on which the rest of a response did not arrive within limits.RemainderTime, and retired
+// connections on which no late response is expected.
 func (p *Pool) Sweep() {
 	for _, conn := range p.connections {
 		p.confirmDue(conn)
--- a/internal/calls/retry_after_test.go
+++ b/internal/calls/retry_after_test.go
@@ -16,8 +16,9 @@
 		values []string
 		want   rules.Millis
 	}{
-		{nil, 0}, {[]string{"0"}, 0}, {[]string{"2"}, 2000}, {[]string{"0.25"}, 250}, {[]string{"-1"}, 0}, {[]string{"soon"}, 0},
-		{[]string{"NaN"}, 0}, {[]string{"1", "3", "2"}, 3000}, {[]string{"2000000"}, 1e9}, {[]string{"1e400"}, 1e9},
+		{nil, 0}, {[]string{"0"}, 0}, {[]string{"2"}, 2000}, {[]string{"0.25"}, 250},
+		{[]string{"-1"}, 0}, {[]string{"soon"}, 0}, {[]string{"NaN"}, 0},
+		{[]string{"1", "3", "2"}, 3000}, {[]string{"2000000"}, 1e9}, {[]string{"1e400"}, 1e9},
 		{[]string{now.Add(90 * time.Second).UTC().Format(http.TimeFormat)}, 90_000},
 		{[]string{now.Add(-time.Hour).UTC().Format(http.TimeFormat)}, 0},
 	} {
--- a/internal/calls/settling.go
+++ b/internal/calls/settling.go
@@ -8,14 +8,16 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// This file lets connections settle: after a response a connection stays unused for limits.SettleTime. Unsolicited
-// bytes that arrive in that time show that a response was recorded for a call that it did not belong to.
+// This file guards against responses that are recorded for calls that they don't belong to. After a response, a
+// connection stays unused for limits.SettleTime, because late or duplicate responses usually arrive in that time. An
+// outcome on a reused connection stays unconfirmed until the correct response, if there is another one, would have
+// arrived; it is retracted if such a response arrives or may have been lost.
 
 // exchange is an answered call on a reused connection, whose response may belong to another call.
 type exchange struct {
 	notice       rules.NoticeID
-	trip         int
-	id           string
+	trip         int           // Call.Trip
+	id           string        // Call.ID
 	status       int           // of the response that was recorded for it
 	deadline     time.Time     // of the call; its correct response comes no later
 	writtenAt    time.Time     // when the request was written
@@ -31,7 +33,7 @@
 	unconfirmed exchangeState = iota
 	confirmed
 	retracted
-	mayHaveRun // the outcome claims no more than this, so there is nothing to retract
+	mayHaveRun // the outcome only says that the call may have run, so there is nothing to retract
 )
 
 // anyExchange matches every exchange.
@@ -83,13 +85,13 @@
 }
 
 // recordExchange keeps an answered call whose response may belong to another call.
-func (conn *connection) recordExchange(call *Call, status int, confirm time.Duration, state exchangeState) {
+func (conn *connection) recordExchange(call *Call, status int, confirmAfter time.Duration, state exchangeState) {
 	if len(conn.exchanges) >= maxExchanges && conn.exchanges[0].state != unconfirmed {
 		conn.exchanges = slices.Delete(conn.exchanges, 0, 1)
 	}
 	conn.exchanges = append(conn.exchanges, exchange{notice: call.Notice, trip: call.Trip, id: call.ID, status: status,
 		deadline: call.deadline, writtenAt: conn.writtenAt,
-		readAt: conn.lastRead, confirmAfter: confirm, state: state})
+		readAt: conn.lastRead, confirmAfter: confirmAfter, state: state})
 }
 
 // settle starts the time for which a connection stays unused after a response.
@@ -157,9 +159,9 @@
 	return slices.ContainsFunc(conn.exchanges, func(ex exchange) bool { return p.now.Sub(ex.readAt) < ex.confirmAfter })
 }
 
-// retractShifted retracts the outcomes that are wrong if a response with status laterStatus was the correct one to
-// the last call, and the response to each earlier call was recorded for the call after it. Only exchanges
-// accepted by match are retracted, and none that has the same status either way or whose deadline has passed.
+// retractShifted retracts the outcomes that are wrong if responses were shifted by one call: the correct response to
+// the last call has status laterStatus, and that to each earlier call was recorded for the call after it. Only
+// exchanges accepted by match are retracted, and none that has the same status either way or whose deadline has passed.
 func (p *Pool) retractShifted(conn *connection, laterStatus int, match func(exchange) bool) {
 	for i := len(conn.exchanges) - 1; i >= 0; i-- {
 		ex := &conn.exchanges[i]
@@ -199,8 +201,8 @@
 // maxLoggedBytes is how many of the first unsolicited bytes the log shows.
 const maxLoggedBytes = 16
 
-// reportUnsolicited counts and logs bytes that no call had asked for. Nothing had been received for the time
-// silence before them.
+// reportUnsolicited counts and logs bytes that no call had asked for. silence is the time between them and the bytes
+// received before them on the connection.
 func (p *Pool) reportUnsolicited(conn *connection, silence time.Duration, data []byte) {
 	p.UnsolicitedReads++
 	p.unsolicited = append(p.unsolicited, conn.receiver)
@@ -210,8 +212,8 @@
 }
 
 // handleUnsolicited stops using a connection on which unsolicited bytes arrived. A reused connection stays open for
-// as long as they may be the correct response to a call that was recorded with the response to another one; a new
-// one is closed.
+// as long as they may be the correct response to a call that was recorded with the response to another one. A
+// connection that has carried one call at most is closed.
 func (p *Pool) handleUnsolicited(conn *connection, data []byte) {
 	if conn.callsWritten <= 1 {
 		p.drop(conn, "received unsolicited bytes")
@@ -248,8 +250,8 @@
 	}
 }
 
-// takeSettledIdle takes the most recently used idle connection to a receiver that has settled and received nothing
-// since, or returns nil. Connections that have closed or received bytes are retired.
+// takeSettledIdle takes the most recently used one of the idle connections to a receiver that have settled and have
+// nothing unread, or returns nil. Those found closed or with unread bytes are retired.
 func (p *Pool) takeSettledIdle(receiver rules.ReceiverID) *connection {
 	idle := p.idle[receiver]
 	for i := len(idle) - 1; i >= 0; i-- {
--- a/internal/calls/settling_test.go
+++ b/internal/calls/settling_test.go
@@ -16,8 +16,8 @@
 // settleTime is how long connections stay unused after a response.
 const settleTime = 40 * time.Millisecond
 
-// newScriptedHarness returns a harness whose receiver leaves the responses to the test: it sends the connection of
-// each call that it has read to the channel.
+// newScriptedHarness returns a harness whose receiver leaves the responses to the test: once it has read the headers
+// of a call, it sends the call's connection to the channel.
 func newScriptedHarness(t *testing.T) (*harness, chan net.Conn) {
 	h := newHarness(t)
 	h.pool.limits.SettleTime = settleTime
@@ -346,8 +346,9 @@
 		conn.Close()
 		h.runFor(10 * time.Millisecond)
 		h.traceEvents("late")
-		h.checkTrace("first: 1 handled, 0 unsolicited\nduplicate: 2 handled unconfirmed, 0 unsolicited\nlate: 3 timed out, " +
-			outcomeBefore + ", 0 unsolicited")
+		h.checkTrace(
+			"first: 1 handled, 0 unsolicited\nduplicate: 2 handled unconfirmed, 0 unsolicited\nlate: 3 timed out, " +
+				outcomeBefore + ", 0 unsolicited")
 	}
 }
 
@@ -362,7 +363,7 @@
 			h.runFor(300 * time.Millisecond)
 			conn.Close()
 		},
-		"closed for room": func(h *harness, _ net.Conn) { h.pool.closeOldest() },
+		"closed to make space": func(h *harness, _ net.Conn) { h.pool.closeOldest() },
 	}
 	for name, endConnection := range endings {
 		for _, status := range []int{200, 503} {
@@ -397,5 +398,6 @@
 	conn.Close()
 	h.runFor(20 * time.Millisecond)
 	h.traceEvents("ended")
-	h.checkTrace("first: 1 handled, 0 unsolicited\nended: 2 confirmed, 4 confirmed, 5 retracted, 3 retracted, 0 unsolicited")
+	h.checkTrace(
+		"first: 1 handled, 0 unsolicited\nended: 2 confirmed, 4 confirmed, 5 retracted, 3 retracted, 0 unsolicited")
 }
