--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -36,8 +36,8 @@
 	sealed        atomic.Bool  // the poller must not read any more
 }
 
-// Dial starts to connect to an address. At most maxRead bytes are read per event: it must hold the largest response.
-// The owner's Opened or Closed follows.
+// Dial starts to connect to an address. At most maxRead bytes are read per event, which must be enough for the largest
+// response. The owner's Opened or Closed is called when the attempt has ended, unless the owner closes the connection.
 func (n *Net) Dial(address string, timeout time.Duration, maxRead int, owner Owner) *Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	c := &Conn{net: n, owner: owner, cancel: cancel, readBudget: int64(maxRead)}
@@ -70,7 +70,7 @@
 // Local returns the connection's local address. The connection must have been opened.
 func (c *Conn) Local() string { return c.nb.LocalAddr().String() }
 
-// Write sends bytes without blocking. Closed reports an error, too.
+// Write sends bytes without blocking. An error closes the connection, which the owner's Closed reports, too.
 func (c *Conn) Write(b []byte) error {
 	c.writeTotal += int64(len(b))
 	var err error
@@ -124,9 +124,9 @@
 	if !c.allDelivered() {
 		return false
 	}
-	quiet := false
-	c.withDescriptor(func(fd int) { quiet = nothingUnread(fd) })
-	return quiet
+	noneUnread := false
+	c.withDescriptor(func(fd int) { noneUnread = nothingUnread(fd) })
+	return noneUnread
 }
 
 // nothingUnread reports whether the kernel holds neither unread bytes nor the end of the stream for a descriptor.
@@ -139,25 +139,25 @@
 	}
 }
 
-// CloseIfNothingUnread closes the connection and returns true unless bytes that its owner has not received have been
-// read or wait in the kernel: then the connection stays open and its owner receives them. Bytes that arrive after the
+// CloseIfNothingUnread closes the connection if nothing has arrived that its owner has not received yet, and reports
+// whether the connection is closed. If it stays open, its owner receives what has arrived. Bytes that arrive after the
 // close are never read.
 func (c *Conn) CloseIfNothingUnread() bool {
 	if c.closed {
 		return true
 	}
-	quiet := false
+	noneUnread := false
 	c.withDescriptor(func(fd int) {
 		c.sealed.Store(true)
-		quiet = c.allDelivered() && nothingUnread(fd)
-		c.sealed.Store(quiet)
+		noneUnread = c.allDelivered() && nothingUnread(fd)
+		c.sealed.Store(noneUnread)
 	})
-	if quiet {
+	if noneUnread {
 		c.Close()
 	} else {
 		c.rearm() // the poller may have skipped an event while the connection was sealed
 	}
-	return quiet
+	return noneUnread
 }
 
 // withDescriptor calls use with the connection's descriptor, unless it is closed, and keeps it from being closed
--- a/internal/sockets/reading.go
+++ b/internal/sockets/reading.go
@@ -35,6 +35,7 @@
 				c.nb.CloseWithError(cmp.Or(err, io.EOF))
 				return
 			}
+			// Once a client's bytes are queued, its owner decides by Resume how much is read next.
 			if !enqueued || !c.client {
 				c.window.Store(budget)
 				c.rearm()
--- a/internal/sockets/reuse.go
+++ b/internal/sockets/reuse.go
@@ -57,8 +57,8 @@
 	return err
 }
 
-// guardClose calls closeDescriptor, which reports whether it closed the connection's descriptor, and marks the number
-// if so.
+// guardClose calls closeDescriptor, which reports whether it closed the connection's descriptor. If so, it marks the
+// number, so that await blocks the next connection that gets it.
 func (g *reuseGuard) guardClose(fd int, closeDescriptor func() bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/sockets/reuse_test.go
+++ b/internal/sockets/reuse_test.go
@@ -11,7 +11,7 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// openCloseRecorder records which connections were opened, and which of them were closed by other than their owner.
+// openCloseRecorder records which connections were opened, and which of them ended without being closed by their owner.
 type openCloseRecorder struct {
 	opened []*Conn
 	closed map[*Conn]error
@@ -96,7 +96,7 @@
 	closes := map[string]func(c *Conn, maxWriteBuffer int){
 		"closed by its owner":   func(c *Conn, _ int) { c.Close() },
 		"by a write that fails": func(c *Conn, _ int) { c.Write([]byte("answer")) },
-		"by a write too large":  func(c *Conn, list int) { c.Write(make([]byte, list+1)) },
+		"by a write too large":  func(c *Conn, maxWriteBuffer int) { c.Write(make([]byte, maxWriteBuffer+1)) },
 	}
 	for cause, closeConn := range closes {
 		for _, dialled := range []bool{false, true} {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -65,6 +65,7 @@
 		pendingWrites: map[*Conn]bool{}}
 	n.spaceFreed = sync.NewCond(&n.mu)
 	logging.SetLevel(logging.LevelNone)
+	// nbio's table of connections has this size. Its index is the descriptor number, and other files are open, too.
 	nbio.MaxOpenFiles = lim.Clients + lim.Receivers + 1024
 	n.engine = nbio.NewEngine(nbio.Config{
 		Network: nbio.NETWORK_TCP, Addrs: []string{address}, NPoller: 1,
