--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -52,11 +52,11 @@
 	return ""
 }
 
-// stage is the part of a message that the parser reads next.
-type stage uint8
+// parserState is the part of a message that the parser reads next.
+type parserState uint8
 
 const (
-	firstLine stage = iota
+	firstLine parserState = iota
 	headers
 	sizedBody // a body of Content-Length bytes
 	chunkSize
@@ -72,7 +72,7 @@
 	maxHead, maxFields, maxBody int // limits: bytes of the first line and headers, header fields, bytes of the body
 	pool                        *buffers.Pool
 	responses                   bool // the messages are responses, not requests
-	stage                       stage
+	state                       parserState
 	line                        *[]byte // the part of the current line that has arrived
 	headLeft                    int     // bytes that the rest of the head, a chunk size line or the trailers may have
 	bodyLeft                    int     // bytes left of a sized body or a chunk
@@ -90,17 +90,17 @@
 
 // reset prepares the parser for the next message.
 func (p *Parser) reset() {
-	p.stage, p.headLeft, p.bodyLeft, p.continueSent, p.message = firstLine, p.maxHead, 0, false, Message{}
+	p.state, p.headLeft, p.bodyLeft, p.continueSent, p.message = firstLine, p.maxHead, 0, false, Message{}
 }
 
 // Begun reports whether a message has begun and is not complete.
 func (p *Parser) Begun() bool {
-	return p.stage != complete && (p.stage != firstLine || p.headLeft != p.maxHead)
+	return p.state != complete && (p.state != firstLine || p.headLeft != p.maxHead)
 }
 
 // Status returns the status code of a response, or 0 if its first line is incomplete or can't be parsed.
 func (p *Parser) Status() int {
-	if p.stage == firstLine {
+	if p.state == firstLine {
 		return 0
 	}
 	return p.message.Status
@@ -116,7 +116,7 @@
 }
 
 // HeadRead reports whether the first line and the headers have been read.
-func (p *Parser) HeadRead() bool { return p.stage > headers }
+func (p *Parser) HeadRead() bool { return p.state > headers }
 
 // TakeExpectContinue reports whether the client waits for "100 Continue" before it sends the body. It returns true once
 // per request.
@@ -126,19 +126,20 @@
 	return waits
 }
 
-// Feed parses bytes. Once the message is complete, done is true and rest holds the bytes after the message.
+// Feed parses bytes. Once the message is complete, done is true and rest holds the bytes after the message. An error is
+// a *Fault.
 func (p *Parser) Feed(b []byte) (rest []byte, done bool, err error) {
-	for p.stage != complete {
+	for p.state != complete {
 		if len(b) == 0 {
 			return nil, false, nil
 		}
-		switch p.stage {
+		switch p.state {
 		case sizedBody, chunkData, untilClose:
 			count, next := len(b), chunkEnd
-			if p.stage != untilClose {
+			if p.state != untilClose {
 				count = min(count, p.bodyLeft)
 			}
-			if p.stage == sizedBody {
+			if p.state == sizedBody {
 				next = complete
 			}
 			if p.message.Body.Len()+count > p.maxBody {
@@ -146,11 +147,11 @@
 			}
 			p.body().Add(b[:count])
 			b = b[count:]
-			if p.stage == untilClose {
+			if p.state == untilClose {
 				continue
 			}
 			if p.bodyLeft -= count; p.bodyLeft == 0 {
-				p.stage = next
+				p.state = next
 			}
 		default:
 			var line []byte
@@ -167,9 +168,9 @@
 	return b, true, nil
 }
 
-// Missing returns the number of bytes that complete the message, or 0 if it is not known.
+// Missing returns the number of bytes still missing from the message, or 0 if it is not known.
 func (p *Parser) Missing() int {
-	if p.stage == sizedBody {
+	if p.state == sizedBody {
 		return p.bodyLeft
 	}
 	return 0
@@ -188,8 +189,8 @@
 // End reports to the parser that the connection has ended, which completes a body without a stated length. It returns
 // ErrTruncated in all other cases.
 func (p *Parser) End() error {
-	if p.stage == untilClose {
-		p.stage = complete
+	if p.state == untilClose {
+		p.state = complete
 		return nil
 	}
 	return ErrTruncated
@@ -242,14 +243,14 @@
 	}
 }
 
-// readLine parses a whole line according to the stage.
+// readLine parses a whole line according to the state, and advances the state.
 func (p *Parser) readLine(line []byte) error {
-	switch p.stage {
+	switch p.state {
 	case firstLine:
 		if len(line) == 0 && !p.responses {
 			return nil // empty lines before a request are skipped
 		}
-		p.stage = headers
+		p.state = headers
 		if p.responses {
 			return p.parseStatusLine(string(line))
 		}
@@ -266,17 +267,17 @@
 			return errMalformed
 		}
 		p.headLeft = p.maxHead
-		if p.bodyLeft, p.stage = int(n), chunkData; n == 0 {
-			p.stage = trailers
+		if p.bodyLeft, p.state = int(n), chunkData; n == 0 {
+			p.state = trailers
 		}
 	case chunkEnd:
 		if len(line) > 0 {
 			return errMalformed
 		}
-		p.stage = chunkSize
+		p.state = chunkSize
 	case trailers:
 		if len(line) == 0 {
-			p.stage = complete
+			p.state = complete
 		}
 	}
 	return nil
@@ -339,7 +340,7 @@
 	return nil
 }
 
-// startBody derives from the headers how the body is delimited, and sets the stage. Contradictory headers are
+// startBody derives from the headers how the body is delimited, and sets the state. Contradictory headers are
 // rejected: they are a request smuggling attack or a fault of the peer.
 func (p *Parser) startBody() error {
 	length, isChunked := -1, false
@@ -372,19 +373,19 @@
 		p.reset() // an interim response: the final one follows
 		return nil
 	case p.responses && (status == 204 || status == 304):
-		p.stage = complete
+		p.state = complete
 	case isChunked && length >= 0:
 		return errMalformed
 	case isChunked:
-		p.stage, p.headLeft = chunkSize, p.maxHead
+		p.state, p.headLeft = chunkSize, p.maxHead
 	case length > p.maxBody:
 		return errBodyTooLarge
 	case length > 0:
-		p.stage, p.bodyLeft = sizedBody, length
+		p.state, p.bodyLeft = sizedBody, length
 	case length == 0 || !p.responses:
-		p.stage = complete
+		p.state = complete
 	default:
-		p.stage, p.message.Close = untilClose, true
+		p.state, p.message.Close = untilClose, true
 	}
 	return nil
 }
