--- a/internal/buffers/buffers.go
+++ b/internal/buffers/buffers.go
@@ -5,7 +5,7 @@
 
 // Pool is a pool of reusable buffers that all have the same capacity.
 type Pool struct {
-	size int
+	size int // bytes of each buffer
 	free sync.Pool
 }
 
@@ -19,7 +19,8 @@
 // Get returns an empty buffer.
 func (p *Pool) Get() *[]byte { return p.free.Get().(*[]byte) }
 
-// Put returns a buffer to the pool. A buffer that has grown beyond the pool's size is left to the garbage collector.
+// Put returns a buffer to the pool. A buffer that has grown beyond its original capacity is left to the garbage
+// collector.
 func (p *Pool) Put(b *[]byte) {
 	if cap(*b) != p.size {
 		return
@@ -33,7 +34,7 @@
 type Chain struct {
 	pool  *Pool
 	parts []*[]byte
-	size  int
+	size  int // bytes in the chain
 }
 
 // NewChain returns an empty chain whose buffers come from the pool.
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -11,9 +11,9 @@
 
 // Machine holds the resources that the platform grants the sender. A value of 0 or less stands for the default of For.
 type Machine struct {
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-	DiskMB   float64 `json:"disk_mb"`
+	MemoryMB int     `json:"memory_mb"` // in MiB
+	Sockets  int     `json:"sockets"`   // file descriptors, of which the sender uses most for connections
+	DiskMB   float64 `json:"disk_mb"`   // in units of 10^6 bytes
 	Cores    float64 `json:"cores"`
 }
 
@@ -35,7 +35,7 @@
 
 	Clients              int // connections from clients; further ones wait in the kernel
 	CrowdedAt            int // above this number of client connections, those idle for longest are closed
-	PagesPerTurn         int // pages served on one connection in one turn; it ends after the last of them
+	PagesPerTurn         int // pages served on one connection in one turn; after the last, the connection is closed
 	RefusedPerConnection int // after this many refused requests on one connection, nothing more is read from it
 	MaxDiscarded         int // bytes read and discarded from a client after a request that can't be parsed
 	Receivers            int // connections to receivers
@@ -44,19 +44,19 @@
 	FirstRequestTime   time.Duration // from a client's connecting to the last byte of its first request
 	ClientIdle         time.Duration // how long a client's connection may be idle
 	ConnectTime        time.Duration // for connecting to a receiver
-	RemainderTime      time.Duration // for the rest of a response whose head was enough; then the connection is closed
+	RemainderTime      time.Duration // for the rest of a response to a call that has ended, before the close
 	ReceiverIdle       time.Duration // how long a connection to a receiver may be idle
 	TurnInterval       time.Duration // between the starts of two turns of a busy loop
 	SweepInterval      time.Duration // between checks for timeouts
-	MaxTurnLag         time.Duration // a turn this long after the last one, or this old, may lack data that has arrived
+	MaxTurnLag         time.Duration // after a longer time since the loop read the clock, data may have arrived unread
 	SettleTime         time.Duration // how long a connection to a receiver stays unused after a response
 	UnreadRecheckDelay time.Duration // until a connection with data not yet processed is checked again
-	MaxPause           time.Duration // longest pause of the process allowed for between reading its clock and writing
+	MaxPause           time.Duration // see rules.Settings.MaxPause
 
 	WatchHold       time.Duration // how long discovery is asked to hold a watch request
 	WatchInterval   time.Duration // between watch requests that discovery does not hold
 	ResponseTimeout time.Duration // of discovery, added to WatchHold; of the platform, for an outcome report
-	BackOff         time.Duration // pause after the first failure of either; doubles with each further one
+	BackOff         time.Duration // pause after a failed watch or report; doubles with each further failure in a row
 	MaxBackOff      time.Duration // upper bound of that pause
 
 	SendUntil time.Duration // after SIGTERM: no trip starts from then on
@@ -68,7 +68,7 @@
 
 // For returns the limits for a machine, with defaults for what it does not state.
 func For(machine Machine, settings rules.Settings, connectTimeout rules.Millis) Limits {
-	const mb = 1 << 20
+	const mib = 1 << 20
 	if machine.MemoryMB <= 0 {
 		machine.MemoryMB = 192
 	}
@@ -83,21 +83,21 @@
 	}
 	limits := Limits{
 		Cores:  machine.Cores,
-		Memory: int64(machine.MemoryMB) * mb / 2,
+		Memory: int64(machine.MemoryMB) * mib / 2,
 		Disk:   int64(machine.DiskMB * 1e6 * 0.9),
 
 		Buffer:               8 << 10,
 		Window:               2 << 10,
-		QueuedBytes:          min(4, machine.MemoryMB/16) * mb,
+		QueuedBytes:          min(4, machine.MemoryMB/16) * mib,
 		Head:                 8 << 10,
 		Fields:               64,
 		Body:                 64 << 10,
-		ReceiverListBytes:    min(4, max(machine.MemoryMB/16, 1)) * mb,
+		ReceiverListBytes:    min(4, max(machine.MemoryMB/16, 1)) * mib,
 		MaxDiscarded:         256 << 10,
 		PagesPerTurn:         4,
 		RefusedPerConnection: 512,
-		HeldBytes:            machine.MemoryMB * mb / 8,
-		PartialBytes:         machine.MemoryMB * mb / 16,
+		HeldBytes:            machine.MemoryMB * mib / 8,
+		PartialBytes:         machine.MemoryMB * mib / 16,
 
 		RequestTime:        2 * time.Second,
 		FirstRequestTime:   2500 * time.Millisecond,
