--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,4 +1,4 @@
-// Package directory follows the platform's receiver list and sends it the outcome reports.
+// Package directory watches the platform's receiver list and sends outcome reports to the platform.
 package directory
 
 import (
@@ -34,13 +34,14 @@
 	Size     float64 `json:"size"`
 }
 
+// statusByPhase maps the phases of Members to the statuses that the rules use.
 var statusByPhase = map[string]rules.ReceiverStatus{"ready": rules.Ready, "draining": rules.Draining,
 	"gone": rules.Gone}
 
 // maxRetired is the number of removed receivers whose identities are remembered.
 const maxRetired = 1024
 
-// identity is what never changes about a receiver: its number in the decision module, and what the number stands for.
+// identity holds what never changes about a receiver: its number in the rules, and what the number stands for.
 type identity struct {
 	number      rules.ReceiverID
 	destination rules.DestinationID
@@ -48,9 +49,9 @@
 	zone        rules.ZoneID
 }
 
-// Receivers maps the listed receivers to the numbers that the decision module uses. A number is never reused for
-// another receiver. A receiver that is removed and listed again gets its old number, so that what is recorded about
-// it stays valid.
+// Receivers maps the listed receivers to the numbers that the rules use. A number is never reused for another receiver.
+// A receiver that is removed and listed again gets its old number, so that what is recorded about it stays valid; only
+// the identities of maxRetired removed receivers are remembered for this.
 type Receivers struct {
 	names             settings.Names
 	listed            map[string]identity          // by receiver ID
@@ -59,7 +60,7 @@
 	knownDestinations map[rules.DestinationID]bool // ever listed: notices for them are held while they have no receiver
 	removed           []rules.ReceiverID           // not yet returned by TakeRemoved
 	lastNumber        rules.ReceiverID
-	Addresses         map[rules.ReceiverID]string
+	Addresses         map[rules.ReceiverID]string // of the listed receivers: host and port
 	Zones             map[rules.ReceiverID]rules.ZoneID
 }
 
@@ -80,19 +81,19 @@
 	return removed
 }
 
-// Apply applies a list and returns it in the form that the decision module uses. Receivers that the list removes are
-// removed from Addresses and Zones at once.
+// Apply applies a list and returns it in the form that the rules use. Receivers that the list removes are removed from
+// Addresses and Zones at once. A list with an invalid entry is not applied.
 func (r *Receivers) Apply(list List) (rules.ListUpdated, error) {
 	update := rules.ListUpdated{Complete: list.Complete}
 	present := map[string]bool{}
 	for _, member := range list.Members {
-		standing, known := statusByPhase[member.Phase]
+		status, known := statusByPhase[member.Phase]
 		if !known || member.ID == "" || member.Cell < 0 || member.Cell > 1<<30 ||
-			standing != rules.Gone && member.HostPort == "" {
+			status != rules.Gone && member.HostPort == "" {
 			return update, fmt.Errorf("entry %q is invalid: cell %d, phase %q, address %q",
 				member.ID, member.Cell, member.Phase, member.HostPort)
 		}
-		present[member.ID] = standing != rules.Gone
+		present[member.ID] = status != rules.Gone
 	}
 	for id := range r.listed {
 		if isPresent, named := present[id]; named && !isPresent || !named && list.Complete {
@@ -175,7 +176,7 @@
 	address   string
 	receivers *Receivers
 
-	watch, reports    exchange
+	watch, reports    requester
 	revision          int64
 	needsFullList     bool // the next watch asks for the complete list
 	watching          bool
@@ -194,9 +195,9 @@
 // New returns a Directory that starts from a list of the given revision, which the receivers already contain.
 func New(address string, lim limits.Limits, pool *buffers.Pool, receivers *Receivers, revision int64) *Directory {
 	d := &Directory{limits: lim, pool: pool, address: address, receivers: receivers, revision: revision}
-	d.watch = exchange{directory: d, maxBody: lim.ReceiverListBytes, onResponse: d.handleList,
+	d.watch = requester{directory: d, maxBody: lim.ReceiverListBytes, onResponse: d.handleList,
 		onFailure: func() { d.watchFailed = true }}
-	d.reports = exchange{directory: d, maxBody: lim.Body, singleUse: true, onResponse: d.handleReportResponse,
+	d.reports = requester{directory: d, maxBody: lim.Body, singleUse: true, onResponse: d.handleReportResponse,
 		onFailure: func() { d.inFlight = 0 }}
 	return d
 }
@@ -212,9 +213,9 @@
 		return
 	}
 	d.address, d.needsFullList, d.inFlight = address, true, 0
-	for _, x := range []*exchange{&d.watch, &d.reports} {
-		x.closeConn()
-		x.backoff, x.due = 0, time.Time{}
+	for _, r := range []*requester{&d.watch, &d.reports} {
+		r.closeConn()
+		r.backoff, r.due = 0, time.Time{}
 	}
 }
 
@@ -264,8 +265,8 @@
 		d.reports.step(d.limits.ResponseTimeout, func(buffer []byte) []byte {
 			var lines []byte
 			d.inFlight = 0
-			for _, end := range d.pending {
-				line, err := json.Marshal(end)
+			for _, outcome := range d.pending {
+				line, err := json.Marshal(outcome)
 				if err != nil || len(lines)+len(line) >= d.limits.Body || d.maxBatch > 0 && d.inFlight == d.maxBatch {
 					break
 				}
@@ -338,19 +339,20 @@
 			d.pending[0].Message)
 	}
 	d.maxBatch = 0
-	for _, end := range d.pending[:d.inFlight] {
-		d.confirmed = append(d.confirmed, end.Notice)
+	for _, outcome := range d.pending[:d.inFlight] {
+		d.confirmed = append(d.confirmed, outcome.Notice)
 	}
 	d.pending = slices.Delete(d.pending, 0, d.inFlight)
 	d.inFlight = 0
 	return true
 }
 
-// exchange sends requests to the platform one after another, over a connection that it opens when needed.
-type exchange struct {
-	directory  *Directory
-	maxBody    int  // bytes of a response body
-	singleUse  bool // each request has its own connection, so that no response can belong to another request
+// requester sends requests to the platform one after another, over a connection that it opens when needed.
+type requester struct {
+	directory *Directory
+	maxBody   int  // bytes of a response body
+	singleUse bool // each request has its own connection, so that no response can belong to another request
+	// onResponse handles a complete response, and reports whether the next request may follow without a backoff.
 	onResponse func(*http1.Message) bool
 	onFailure  func()
 
@@ -360,102 +362,102 @@
 	requests    int       // sent on this connection
 	awaiting    bool      // a request is waiting for its response
 	requestedAt time.Time // when the last request was sent
-	due         time.Time // when step has to act next: a request, or a timeout
+	due         time.Time // when step sends the next request, or when the current request or connecting times out
 	backoff     time.Duration
 	writeBuffer []byte
 }
 
 // step sends the next request once it is due, on a new connection if necessary. A request or a connection attempt
 // that is still unfinished when it is due has timed out, and fails.
-func (x *exchange) step(timeout time.Duration, appendRequest func([]byte) []byte) {
-	lim := x.directory.limits
-	if x.directory.now.Before(x.due) {
+func (r *requester) step(timeout time.Duration, appendRequest func([]byte) []byte) {
+	lim := r.directory.limits
+	if r.directory.now.Before(r.due) {
 		return
 	}
-	if x.awaiting || x.conn != nil && !x.connected {
-		x.fail()
+	if r.awaiting || r.conn != nil && !r.connected {
+		r.fail()
 		return
 	}
-	if x.conn == nil {
-		x.parser = http1.NewParser(x.directory.pool, true, lim.Head, lim.Fields, x.maxBody)
-		x.conn, x.connected, x.requests =
-			x.directory.net.Dial(x.directory.address, lim.ConnectTime, lim.Head+x.maxBody, x), false, 0
-		x.due = x.directory.now.Add(2 * lim.ConnectTime)
+	if r.conn == nil {
+		r.parser = http1.NewParser(r.directory.pool, true, lim.Head, lim.Fields, r.maxBody)
+		r.conn, r.connected, r.requests =
+			r.directory.net.Dial(r.directory.address, lim.ConnectTime, lim.Head+r.maxBody, r), false, 0
+		r.due = r.directory.now.Add(2 * lim.ConnectTime)
 		return
 	}
-	x.requests++
-	x.writeBuffer = appendRequest(x.writeBuffer[:0])
-	x.awaiting, x.requestedAt, x.due = true, x.directory.now, x.directory.now.Add(timeout)
-	x.conn.Write(x.writeBuffer)
+	r.requests++
+	r.writeBuffer = appendRequest(r.writeBuffer[:0])
+	r.awaiting, r.requestedAt, r.due = true, r.directory.now, r.directory.now.Add(timeout)
+	r.conn.Write(r.writeBuffer)
 }
 
 // fail closes the connection and schedules the next attempt with exponential backoff.
-func (x *exchange) fail() {
-	x.closeConn()
-	x.backoff = min(max(2*x.backoff, x.directory.limits.BackOff), x.directory.limits.MaxBackOff)
-	x.due = x.directory.now.Add(x.backoff)
-	x.onFailure()
+func (r *requester) fail() {
+	r.closeConn()
+	r.backoff = min(max(2*r.backoff, r.directory.limits.BackOff), r.directory.limits.MaxBackOff)
+	r.due = r.directory.now.Add(r.backoff)
+	r.onFailure()
 }
 
 // closeConn closes the connection and abandons the request that waits on it.
-func (x *exchange) closeConn() {
-	if x.conn != nil {
-		x.conn.Close()
-		x.parser.Free()
+func (r *requester) closeConn() {
+	if r.conn != nil {
+		r.conn.Close()
+		r.parser.Free()
 	}
-	x.conn, x.awaiting, x.connected = nil, false, false
+	r.conn, r.awaiting, r.connected = nil, false, false
 }
 
 // Opened implements sockets.Owner.
-func (x *exchange) Opened(conn *sockets.Conn) {
-	if conn == x.conn {
-		x.connected, x.due = true, time.Time{}
+func (r *requester) Opened(conn *sockets.Conn) {
+	if conn == r.conn {
+		r.connected, r.due = true, time.Time{}
 	}
 }
 
 // Data implements sockets.Owner. Bytes that arrive while no request waits for a response are a failure.
-func (x *exchange) Data(conn *sockets.Conn, data []byte) {
-	if conn != x.conn {
+func (r *requester) Data(conn *sockets.Conn, data []byte) {
+	if conn != r.conn {
 		return
 	}
-	if !x.awaiting {
-		x.fail()
+	if !r.awaiting {
+		r.fail()
 		return
 	}
-	rest, done, err := x.parser.Feed(data)
+	rest, done, err := r.parser.Feed(data)
 	if err != nil {
-		x.directory.countUnusable(err)
-		x.fail()
+		r.directory.countUnusable(err)
+		r.fail()
 	} else if done {
-		x.handleResponse(x.parser.Take(), len(rest) > 0)
+		r.handleResponse(r.parser.Take(), len(rest) > 0)
 	}
 }
 
 // Closed implements sockets.Owner.
-func (x *exchange) Closed(conn *sockets.Conn, _ error) {
+func (r *requester) Closed(conn *sockets.Conn, _ error) {
 	switch {
-	case conn != x.conn:
-	case x.awaiting && x.parser.End() == nil:
-		x.handleResponse(x.parser.Take(), true)
-	case x.awaiting || !x.connected:
-		x.fail()
+	case conn != r.conn:
+	case r.awaiting && r.parser.End() == nil:
+		r.handleResponse(r.parser.Take(), true)
+	case r.awaiting || !r.connected:
+		r.fail()
 	default: // the platform closed an idle connection
-		x.parser.Free()
-		x.conn = nil
+		r.parser.Free()
+		r.conn = nil
 	}
 }
 
 // handleResponse passes a complete response on, and closes the connection unless it can be used again.
-func (x *exchange) handleResponse(message *http1.Message, closes bool) {
-	x.awaiting, x.due = false, time.Time{}
-	usable := x.onResponse(message)
+func (r *requester) handleResponse(message *http1.Message, closes bool) {
+	r.awaiting, r.due = false, time.Time{}
+	usable := r.onResponse(message)
 	message.Body.Free()
 	if !usable {
-		x.fail()
+		r.fail()
 		return
 	}
-	x.backoff = 0
-	if closes || message.Close || x.singleUse {
-		x.closeConn()
+	r.backoff = 0
+	if closes || message.Close || r.singleUse {
+		r.closeConn()
 	}
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -24,7 +24,7 @@
 }
 
 // A receiver that is listed again after its removal keeps its number.
-func TestReceiverThatComesBackIsTheSameToTheDecisions(t *testing.T) {
+func TestReceiverThatIsListedAgainKeepsItsNumber(t *testing.T) {
 	receivers := NewReceivers(settings.Names{})
 	first := applyList(t, receivers, true, member("a", "ready", 1), member("b", "ready", 2)).Entries[0].Receiver
 	applyList(t, receivers, false, member("a", "gone", 1))
@@ -43,24 +43,24 @@
 }
 
 // An ID that is listed for another destination is a new receiver, and the old one is removed.
-func TestReceiverOfAnotherDestinationUnderAnOldIDIsAnother(t *testing.T) {
+func TestIDListedForAnotherDestinationIsANewReceiver(t *testing.T) {
 	receivers := NewReceivers(settings.Names{})
 	first := applyList(t, receivers, true, member("a", "ready", 1)).Entries[0].Receiver
 	moved := applyList(t, receivers, false, member("a", "ready", 2)).Entries
 	if len(moved) != 2 || moved[0].Receiver != first || moved[0].Status != rules.Gone || moved[1].Receiver == first {
-		t.Errorf("expected the old receiver to be gone and a new one to be ready: %+v", moved)
+		t.Errorf("entries %+v, want the old receiver gone and a new one ready", moved)
 	}
 }
 
 // The identities of removed receivers are kept only up to maxRetired, however many receivers come and go.
-func TestReceiversThatAreGoneDoNotPileUp(t *testing.T) {
+func TestRememberedIdentitiesAreBounded(t *testing.T) {
 	receivers := NewReceivers(settings.Names{})
 	for i := range 4 * maxRetired {
 		applyList(t, receivers, true, member(fmt.Sprint(i), "ready", 1))
 	}
 	if len(receivers.listed) != 1 || len(receivers.retired) > maxRetired || len(receivers.retiredOrder) > maxRetired ||
 		len(receivers.Addresses) != 1 {
-		t.Errorf("%d listed, %d retired, %d in retirement order, %d addresses",
+		t.Errorf("%d listed, %d retired, %d in retirement order, %d addresses, want 1, <= maxRetired, <= maxRetired, 1",
 			len(receivers.listed), len(receivers.retired), len(receivers.retiredOrder), len(receivers.Addresses))
 	}
 }
