--- a/internal/intake/clients.go
+++ b/internal/intake/clients.go
@@ -19,7 +19,7 @@
 	responses       []*response // not written yet, in request order
 	openedAt        time.Time
 	lastActivity    time.Time // when a request last began or a response was last written
-	unreadSince     time.Time // since when unread bytes may be in the kernel; zero: there are none
+	unreadSince     time.Time // when the read window was used up: bytes may wait unread since then; zero: none wait
 	readWindow      int       // bytes that may still be read before the next Resume
 	served          bool      // at least one response was sent
 	awaitsContinue  bool      // the client waits for "100 Continue" before it sends the request body
@@ -39,7 +39,7 @@
 
 const (
 	keepOpen       closeMode = iota
-	closeWhenQuiet           // close, unless further requests have arrived: what has been read is answered first
+	closeWhenQuiet           // close, unless further input has arrived: that is served on the open connection
 	closeAtOnce              // close; input that follows the request is not parsed as requests
 )
 
@@ -114,7 +114,8 @@
 	return client.readStopped || !client.parser.Begun() && client.conn.NothingUnread()
 }
 
-// refuse completes the response to a request that is not accepted.
+// refuse completes the response to a request that is not accepted. After too many of them, no more input is read from
+// the client.
 func (in *Intake) refuse(client *clientConn, pending *response, status int) {
 	if client.refusedRequests++; client.refusedRequests >= in.limits.RefusedPerConnection {
 		client.readStopped = true
@@ -123,8 +124,9 @@
 }
 
 // closeWriteSide closes the sending side after the last response, so that the client can read that response. The
-// connection itself closes when the client closes it, or in Sweep. Input that follows the answered requests stays
-// in the kernel, so that closing the connection tells the client that it was not read.
+// connection itself closes when the client closes it, or in Sweep. Unless discardsInput is set, input that follows the
+// answered requests stays in the kernel, so that closing the connection tells the client that it was not read. A
+// flooding client with unread input is disconnected at once.
 func (in *Intake) closeWriteSide(client *clientConn) {
 	client.responses, client.ignoresInput = nil, true
 	if client.flooding && !client.conn.NothingUnread() {
@@ -149,7 +151,7 @@
 	in.enqueueResponse(client).finish(status, closeAtOnce)
 }
 
-// discard counts discarded input, and closes the connection at the limit.
+// discard counts discarded input, and closes the connection above the limit.
 func (in *Intake) discard(client *clientConn, count int) {
 	if client.discardedBytes += count; client.discardedBytes > in.limits.MaxDiscarded {
 		in.Refused.Flooding++
@@ -187,7 +189,7 @@
 	for _, client := range in.clients {
 		idle := now.Sub(client.lastActivity)
 		switch {
-		case len(client.responses) > 0:
+		case len(client.responses) > 0: // its requests are being processed
 		case !client.conn.Written():
 			if idle > in.limits.RequestTime { // the client does not read its responses
 				in.Refused.Flooding++
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -20,16 +20,16 @@
 // Request is a submitted notice whose client waits for Answer.
 type Request struct {
 	ID            string
-	Mark          string // the idempotency key, by which a receiver recognizes a repeated notice, or empty
+	Mark          string // the idempotency key, by which a destination recognizes a repeated notice, or empty
 	Grade         rules.GradeID
-	Portfolio     rules.PortfolioID
-	Key           rules.KeyID
+	Portfolio     rules.PortfolioID // the number of portfolios if the client's is not configured
+	Key           rules.KeyID       // a hash of the affinity key; 0: none
 	Destination   rules.DestinationID
-	ClientTimeout rules.Millis // client timeout
+	ClientTimeout rules.Millis // from the Request-Timeout-Ms header
 	Inherited     bool         // a resubmission, after another sender that had the notice died or did not answer
 	Body          *buffers.Chain
-	// EarliestArrival is the earliest time at which a request that waited unread in the kernel can have arrived,
-	// because earlier requests of its client were served first. Zero: it did not wait.
+	// EarliestArrival is the earliest time at which the request can have arrived, if it waited unread in the kernel
+	// while earlier requests of its client were served. Zero: it did not wait.
 	EarliestArrival time.Time
 	client          *clientConn
 	response        *response
@@ -38,8 +38,12 @@
 // Refusals counts the requests and connections that intake refused by itself, without asking the decision module, by
 // reason.
 type Refusals struct {
-	Unreadable, Unknown, Malformed, Late, Leaving int // answered with an error status
-	Silent, Crowded, Flooding                     int // closed
+	// Requests that were answered with an error status: they can't be parsed, name an unknown grade or destination,
+	// have an invalid method or header, were not received completely in time, or came during the shutdown.
+	Unreadable, Unknown, Malformed, Late, Leaving int
+	// Connections that were closed: no request came in time, there were too many connections or partial requests, or
+	// the client did not read its responses or sent more than allowed.
+	Silent, Crowded, Flooding int
 }
 
 // Intake holds the connections of all clients.
@@ -133,8 +137,8 @@
 	in.abandonRequest(client, status)
 }
 
-// serve answers a request, or queues it for Take if it is a valid notice. After a request with "Connection: close",
-// the connection closes.
+// serve answers a request, or queues it for Take if it is a valid notice. After the response to a request with
+// "Connection: close", the connection closes.
 func (in *Intake) serve(client *clientConn, message *http1.Message) {
 	pending := in.enqueueResponse(client)
 	if message.Close {
@@ -195,7 +199,8 @@
 	}
 }
 
-// parseNotice reads the notice in a request. If the request is unusable, it returns the response status instead.
+// parseNotice reads the notice in a request. The grade is named in the Request-Class header, or else in the first part
+// of the path. If the request is unusable, parseNotice returns the response status instead.
 func (in *Intake) parseNotice(message *http1.Message, path string) (*Request, int) {
 	grade := message.Get("request-class")
 	if grade == "" {
@@ -234,7 +239,8 @@
 	return len(s) <= 256 && !strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r > '~' })
 }
 
-// parseDestination finds the destination number in a header value such as "dest=7", which may have other parts too.
+// parseDestination finds the destination number in a header value such as "dest=7", which may have other parts,
+// separated by commas, semicolons or spaces.
 func parseDestination(value string) (rules.DestinationID, bool) {
 	for part := range strings.FieldsFuncSeq(value, func(r rune) bool { return r == ',' || r == ';' || r == ' ' }) {
 		if number, found := strings.CutPrefix(part, "dest="); found {
