--- a/internal/logs/events.go
+++ b/internal/logs/events.go
@@ -45,9 +45,9 @@
 // Event describes one kind of log line.
 type Event struct {
 	Name, Level string
-	Keys        []string
-	Sampled     bool // lines beyond a rate limit are omitted and counted
-	Doc         string
+	Keys        []string // other than those common to all lines
+	Sampled     bool     // lines beyond a rate limit are omitted and counted
+	Doc         string   // the meaning, for the table that Markdown returns
 }
 
 // Events lists every event that the sender logs.
@@ -55,9 +55,9 @@
 	{Ready, "info", []string{"listen", "receivers", "restored"}, false,
 		"the sender accepts requests; `restored` is the number of pending notices of earlier processes"},
 	{Leaving, "info", []string{"held", "out"}, false,
-		"the sender is shutting down, with `held` notices in hand and `out` calls in flight"},
+		"the sender is shutting down; it holds `held` notices, and `out` calls are in flight"},
 	{CountersLine, "info", []string{"sender", "held", "owed"}, false,
-		"all counters since the start, at SIGUSR1 and at exit; `owed` is the number of unconfirmed outcome reports"},
+		"all counters since the start, at SIGUSR1 and at exit; `owed` is the number of pending outcome reports"},
 	{Breaker, "info", []string{"destination", "route", "state", "why"}, false,
 		"the breaker of a route changed its state; `route` is the number of the route's first receiver"},
 	{Reloaded, "info", []string{"discovery", "owed"}, false,
@@ -67,7 +67,7 @@
 	{ConfigOdd, "warn", []string{"why"}, false,
 		"a value in the platform's file makes no sense; the sender continues"},
 	{SlotsCapped, "warn", []string{"slots", "connections", "capped"}, false,
-		"more slots are configured than the connections to receivers allow (these get a quarter of the descriptors); the number of slots used is `capped`"},
+		"more slots are configured than the number of connections to receivers allows, which is a quarter of the file descriptors; the number of slots used is `capped`"},
 	{PlatformBroken, "warn", []string{"why"}, true,
 		"a response of the platform was unusable; the last receiver list stays valid, outcome reports are sent again"},
 	{LedgerTorn, "warn", []string{"bytes"}, false,
@@ -102,7 +102,7 @@
 	{Answered, "debug", []string{"connection", "notice", "receiver", "status", "after", "behind"}, false,
 		"a complete response was read; `after` is the time since its call was written, `behind` whether further bytes followed the response"},
 	{UnsolicitedBytes, "warn", []string{"connection", "receiver", "last", "carried", "quiet", "bytes", "begins"}, true,
-		"a receiver sent unsolicited bytes, on a connection that had carried `carried` calls (`last` is the notice of the latest) and was quiet for the duration `quiet`; such bytes may be the response to another call than the one that they would be assigned to"},
+		"a receiver sent unsolicited bytes, on a connection that had carried `carried` calls (`last` is the notice of the latest) and was quiet for the duration `quiet`; such bytes can be mistaken for the response to another call"},
 	{OutcomeRetracted, "warn", []string{"id", "notice", "receiver", "written_ago", "held"}, true,
 		"an outcome was retracted, because the response may belong to another call: if the notice is no longer `held`, its outcome is reported to the platform; if it is, it counts as one that may have taken effect"},
 	{WaitRequested, "debug", []string{"receiver", "wait"}, false,
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -15,15 +15,15 @@
 	queueLength      = 1024 // lines waiting to be written
 	maxPerInterval   = 10   // lines of one sampled event in a sampling interval
 	samplingInterval = time.Second
-	closeTimeout     = 200 * time.Millisecond
+	closeTimeout     = 200 * time.Millisecond // how long Close waits for the queued lines to be written
 )
 
 // Writer queues log lines for output without blocking, and counts the lines that are dropped or omitted.
 type Writer struct {
-	lines   chan []byte
-	done    chan struct{}
-	once    sync.Once
-	mu      sync.Mutex
+	lines   chan []byte            // the queue
+	done    chan struct{}          // closed when all queued lines are written
+	once    sync.Once              // closes lines
+	mu      sync.Mutex             // guards the fields below
 	dropped int                    // lines dropped since the last LinesDropped line
 	counts  map[string]*eventCount // by event name
 }
@@ -72,7 +72,7 @@
 }
 
 // writeLines writes the queued lines to out until the queue is closed, and logs the numbers of dropped and omitted
-// lines.
+// lines. The number of dropped lines is logged when the queue is less than half full, so that it isn't dropped too.
 func (w *Writer) writeLines(out io.Writer, handler slog.Handler) {
 	defer close(w.done)
 	ticker := time.NewTicker(samplingInterval)
@@ -100,14 +100,15 @@
 	}
 }
 
-// logEvent logs an event of the log itself.
+// logEvent logs an event that concerns the log itself.
 func (w *Writer) logEvent(handler slog.Handler, level slog.Level, name string, attrs ...slog.Attr) {
 	record := slog.NewRecord(time.Now(), level, name, 0)
 	record.AddAttrs(attrs...)
 	handler.Handle(context.Background(), record)
 }
 
-// allow reports whether one more line of a sampled event may be written, and counts the line.
+// allow reports whether one more line of a sampled event may be written, and counts the line. An interval with omitted
+// lines lasts until endIntervals has returned their number.
 func (w *Writer) allow(name string, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -39,7 +39,7 @@
 		t.Fatal("logging to a blocked output took more than 10 s")
 	}
 	if dropped := writer.Dropped(); dropped < 2*queueLength-2 || dropped > 2*queueLength {
-		t.Errorf("%d lines dropped", dropped)
+		t.Errorf("%d lines dropped, want 2*queueLength or up to 2 fewer", dropped)
 	}
 	close(out.free)
 	for range 1000 {
@@ -53,7 +53,8 @@
 	defer out.mu.Unlock()
 	if written := strings.Count(out.text.String(), "msg="+Breaker); written < queueLength || written > queueLength+2 ||
 		strings.Count(out.text.String(), "msg="+LinesDropped) != 1 {
-		t.Errorf("%d lines written, of which the last are\n%s", written, out.text.String()[max(0, out.text.Len()-500):])
+		t.Errorf("%d lines written, want queueLength to queueLength+2 and one LinesDropped line; the last are\n%s", written,
+			out.text.String()[max(0, out.text.Len()-500):])
 	}
 }
 
@@ -69,13 +70,13 @@
 		}
 	}
 	if allowed != maxPerInterval {
-		t.Errorf("%d lines allowed", allowed)
+		t.Errorf("%d lines allowed, want maxPerInterval", allowed)
 	}
 	if omitted := writer.endIntervals(now.Add(500 * time.Millisecond)); len(omitted) > 0 {
 		t.Errorf("omitted lines reported before the interval ended: %v", omitted)
 	}
 	if omitted := writer.endIntervals(now.Add(samplingInterval)); omitted[LedgerFailed] != 100-maxPerInterval {
-		t.Errorf("omitted lines: %v", omitted)
+		t.Errorf("omitted lines: %v, want all beyond maxPerInterval", omitted)
 	}
 	if !writer.allow(LedgerFailed, now.Add(samplingInterval)) {
 		t.Error("no line is allowed in the next interval")
