--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -84,11 +84,12 @@
 	"free": rules.Reissuable, "guarded": rules.Numbered, "single_shot": rules.AtMostOnce,
 }
 
-// listedRateErrors is how far a listed rate may be too high, as a share of the true one, by weight_source.
+// listedRateErrors is how far a listed rate may be too high, as a share of the true one, by weight_source. With any
+// other weight_source, listed rates are not used.
 var listedRateErrors = map[string]float64{"nominal": 0, "rough": 0.5}
 
-// Names holds the names that the settings give to what package rules knows by index, and the settings that only the
-// socket code needs.
+// Names holds the names of the grades, portfolios, kinds and zones, which package rules knows only by their indexes,
+// and the settings that only the socket code needs.
 type Names struct {
 	Grades, Portfolios, Kinds, Zones []string
 	Report                           []string // the fields of a load report, in the order that package rules reads them
