--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -98,7 +98,7 @@
 		got := faults.Error()
 		if what == "broken" { // the text of the TOML library's error is not fixed
 			if !strings.HasPrefix(got, "f.toml:4: ") || len(faults) != 1 {
-				t.Errorf("%s: %s", what, got)
+				t.Errorf("%s: got %s, want one fault, on line 4", what, got)
 			}
 			continue
 		}
@@ -115,7 +115,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, faults := Read("f", text, table)
 		if file.Section("one").Number("for") < 1 || file.Section("one").Number("for") > 1000 {
-			t.Errorf("out of range, with faults %v", faults)
+			t.Errorf("one.for is not from 1 to 1000; faults: %v", faults)
 		}
 	})
 }
--- a/internal/conf/read.go
+++ b/internal/conf/read.go
@@ -77,7 +77,7 @@
 func Read(name string, text []byte, table Table) (*File, Faults) {
 	file := &File{Name: name, table: table, blocks: map[string][]*Block{}}
 	top := file.addBlock(table.section(""), 0)
-	current, prefix, skipping := top, "", false
+	current, sectionPath, skipping := top, "", false
 	parser := unstable.Parser{}
 	parser.Reset(text)
 	lineOf := func(n *unstable.Node) int {
@@ -92,13 +92,14 @@
 		line := lineOf(firstKey)
 		switch expression.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			current, prefix, skipping = file.openSection(path, line, expression.Kind == unstable.ArrayTable)
+			current, sectionPath, skipping = file.openSection(path, line, expression.Kind == unstable.ArrayTable)
 		case unstable.KeyValue:
 			if skipping {
 				continue
 			}
+			// A dotted key before the first header, such as sending.slots, sets a key of the section that it names.
 			target := current
-			if i := strings.LastIndex(path, "."); i >= 0 && prefix == "" {
+			if i := strings.LastIndex(path, "."); i >= 0 && sectionPath == "" {
 				if target, _, skipping = file.openSection(path[:i], line, false); skipping {
 					skipping = false
 					continue
@@ -123,7 +124,7 @@
 	return file, file.Faults()
 }
 
-// Faults returns the faults found so far, sorted by line.
+// Faults returns the faults found so far, including those added by AddFault, sorted by line.
 func (f *File) Faults() Faults {
 	sort.SliceStable(f.faults, func(i, j int) bool { return f.faults[i].Line < f.faults[j].Line })
 	return slices.Clone(f.faults)
@@ -149,9 +150,10 @@
 	return b
 }
 
-// openSection returns the block that a section header opens. If the header is invalid, it records a fault and
-// returns skipping as true: the keys up to the next header are skipped.
-func (f *File) openSection(path string, line int, isArray bool) (b *Block, prefix string, skipping bool) {
+// openSection returns the block that a section header or a dotted key opens, and the section's path. If the section is
+// unknown or is written in the wrong form, it records a fault and returns skipping as true: the keys up to the next
+// header, or the dotted key, are skipped.
+func (f *File) openSection(path string, line int, isArray bool) (block *Block, sectionPath string, skipping bool) {
 	section := f.table.section(path)
 	reject := func(problem, expected string) (*Block, string, bool) {
 		f.faults = append(f.faults, Fault{f.Name, line, path, problem, expected})
@@ -170,7 +172,7 @@
 	return f.addBlock(section, line), path, false
 }
 
-// sectionNames lists the names of the sections.
+// sectionNames lists the names of the sections, for error messages.
 func (t Table) sectionNames() string {
 	var names []string
 	for _, s := range t {
--- a/internal/conf/table.go
+++ b/internal/conf/table.go
@@ -12,7 +12,7 @@
 	"github.com/dustin/go-humanize"
 )
 
-// Kind is the kind of value that a key has.
+// Kind is the kind of value that a key takes.
 type Kind int
 
 // The kinds of value. Block.Number returns numbers in the unit named here.
@@ -43,9 +43,9 @@
 	Kind     Kind
 	Default  string // as written in a file; empty: no default, and a number is 0
 	Required bool
-	Min, Max float64 // of a number, in its kind's unit; Max 0: none, or 0 to 1 for a Share; Unbounded: no upper bound
+	Min, Max float64 // bounds of a number, in its kind's unit, unless Max is 0: then none, and 0 to 1 for a Share
 	Choices  []string
-	Doc      string
+	Doc      string // the description in the table that Markdown returns
 }
 
 // Section is a TOML table, or with Repeated an array of tables. The section without a name holds the top-level keys.
@@ -60,7 +60,7 @@
 // Table is all sections that a file may have.
 type Table []Section
 
-// Unbounded is a Max without an upper bound.
+// Unbounded is the Max of a key that has a minimum but no maximum.
 var Unbounded = math.Inf(1)
 
 // section returns the section with a name, or nil.
