--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,14 +20,15 @@
 
 // Config is the configuration of a sender.
 type Config struct {
+	// Listen is the address that clients connect to, Discovery is the platform's, and State is the state directory.
 	Name, Listen, Discovery, State string
 	Seed                           uint64
-	RandomSeed                     bool // the file sets no seed, and Seed is random
-	Format, Level                  string
+	RandomSeed                     bool   // the file sets no seed, and Seed is random
+	Format, Level                  string // of the log
 	Machine                        limits.Machine
 	Settings                       rules.Settings
 	Names                          settings.Names
-	Known                          directory.List
+	Known                          directory.List // the receivers known before discovery has listed any
 }
 
 // Limits returns the limits that follow from the machine and the settings.
@@ -92,7 +93,7 @@
 	return config, file.Faults()
 }
 
-// joinOrNone lists names for an error message.
+// joinOrNone lists names for an error message, or says that there are none.
 func joinOrNone(names []string) string {
 	if len(names) == 0 {
 		return "the configured names, of which there are none"
@@ -116,7 +117,8 @@
 	listedRateErrors = map[string]float64{"none": -1, "nominal": 0, "rough": 0.5}
 )
 
-// Read decodes the sections of Sending, and records the faults that concern several of their keys.
+// Read decodes the sections in Sending, and records the faults that conf.Read can't detect, such as repeated names and
+// contradictory keys.
 func Read(file *conf.File) (rules.Settings, settings.Names) {
 	sending, goal, dismissal, recovery, report := file.Section("sending"), file.Section("goal"),
 		file.Section("dismissal"),
@@ -141,9 +143,9 @@
 	} else if left != limit {
 		file.AddFault(report, "left", "only one of left and limit is empty", "two field names, or both empty")
 	}
-	addName := func(block *conf.Block, names *[]string) {
+	addName := func(block *conf.Block, existing *[]string) {
 		text := block.Text("name")
-		for _, n := range *names {
+		for _, n := range *existing {
 			if n == text {
 				file.AddFault(block, "name", fmt.Sprintf("%q is used more than once", text), "a unique name")
 			}
@@ -152,7 +154,7 @@
 			file.AddFault(block, "name", fmt.Sprintf("%q can't be sent in a header", text),
 				"1 to 256 printable ASCII characters")
 		}
-		*names = append(*names, text)
+		*existing = append(*existing, text)
 	}
 	for _, block := range file.Sections("grade") {
 		addName(block, &names.Grades)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -120,13 +120,13 @@
 	}
 	_, _, err = FromPlatform("c.json", []byte("{\n\"listen\": 5\n}"), "state")
 	if err == nil || !strings.HasPrefix(err.Error(), "c.json:2: ") {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want an error with the prefix c.json:2", err)
 	}
 }
 
 // TestPages checks that the pages of keys and log events match the tables that the program uses.
 func TestPages(t *testing.T) {
-	for path, made := range map[string]string{
+	for path, generated := range map[string]string{
 		"../../docs/configuration.md": Table.Markdown(), "../../docs/logs.md": logs.Markdown()} {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -136,7 +136,7 @@
 		if !found {
 			t.Fatalf("%s has no marker line for its table", path)
 		}
-		want := head + "<!-- made by UPDATE=1 go test ./internal/config -->\n\n" + made
+		want := head + "<!-- made by UPDATE=1 go test ./internal/config -->\n\n" + generated
 		if os.Getenv("UPDATE") != "" {
 			if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
 				t.Fatal(err)
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -38,7 +38,7 @@
 		{Name: "over_share", Kind: conf.Share, Default: "0.2",
 			Doc: "share at which credit beyond a portfolio's quota counts"},
 		{Name: "late", Kind: conf.Choice, Default: `"evenly"`, Choices: []string{"evenly", "by-halves"},
-			Doc: "credit after the quoted time falls evenly to the client timeout, or by half per further quoted time"},
+			Doc: "how late credit falls to `late_share`: evenly until the client timeout, or by half per further quoted time"},
 	}},
 	{Name: "dismissal", Doc: "What the response to a dismissed notice contains.", Keys: []conf.Key{
 		{Name: "retry_after", Kind: conf.Flag, Default: "true",
