--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli holds what the command lines of both programs share: the exit status and the reporting of usage errors.
+// Package cli holds what the command lines of chuteweir and chutelab share: the exit statuses and the reporting of
+// usage errors.
 package cli
 
 import (
