--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -90,11 +90,11 @@
 }
 
 // Traffic describes the notices that clients submit. Clumps are batches of notices for one destination; ResubmitShare
-// is the share of the dismissed notices that are submitted again, and AnswerTimeout the client's timeout for the first
-// response.
+// is the share of the dismissed notices that are submitted again, and AnswerTimeout is how long a client waits for the
+// response to a submission.
 type Traffic struct {
 	Rate          float64 // notices a second
-	Shape         string
+	Shape         string  // how the rate changes over the run: steady, ramp or peak
 	Zipf          float64 // exponent of the Zipf distribution over destinations
 	ClumpShare    float64 // share of the notices that arrive in clumps
 	ClumpSize     int     // notices in a clump
@@ -168,8 +168,8 @@
 	return f.halfPeriods(at)%2 == 0
 }
 
-// halfPeriods returns how many half periods are over. The added 1e-6 makes sure that a time which was computed from a
-// number of half periods yields that same number in spite of rounding.
+// halfPeriods returns how many half periods have passed since the start of the fault. The added 1e-6 makes sure that a
+// time which was computed from a number of half periods yields that same number in spite of rounding.
 func (f Fault) halfPeriods(at rules.Millis) int64 { return int64((at-f.At)/(f.Period/2) + 1e-6) }
 
 // Next returns the first time after at when the fault starts or stops acting, or -1 if there is none.
@@ -188,7 +188,7 @@
 //go:embed builtin/*.toml
 var builtinFiles embed.FS
 
-// Builtin returns the names of the scenarios that are built into the program.
+// Builtin returns the names of the scenarios that are built into the program, those of the two sets included.
 func Builtin() []string {
 	entries, _ := fs.ReadDir(builtinFiles, "builtin")
 	var names []string
@@ -223,7 +223,8 @@
 	return s, faults.ErrorOrNil()
 }
 
-// Read parses the text of a scenario and returns all that is wrong with it; name stands in the messages.
+// Read parses the text of a scenario and returns it with all faults of the text. The messages of the faults contain
+// name.
 func Read(name string, text []byte) (*Scenario, conf.Faults) {
 	file, _ := conf.Read(name, text, Table)
 	top, machine, traffic := file.Section(""), file.Section("machine"), file.Section("traffic")
@@ -261,7 +262,8 @@
 				RetryAfter: duration(block, "wait"), Connections: block.Int("connections"),
 				OverloadsWhenCold: block.Flag("tips")}}
 		if groups[group.Name] {
-			file.AddFault(block, "name", fmt.Sprintf("%q stands twice", group.Name), "a name of its own")
+			file.AddFault(block, "name", fmt.Sprintf("another [[gateway]] has the name %q", group.Name),
+				"a name of its own")
 		}
 		if group.Kind != "" && !slices.Contains(s.Names.Kinds, group.Kind) {
 			file.AddFault(block, "kind", fmt.Sprintf("no [[kind]] has the name %q", group.Kind),
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -16,11 +16,11 @@
 func TestBuiltin(t *testing.T) {
 	for _, name := range Builtin() {
 		if s, err := Load(name); err != nil || s.Name != name || s.About == "" {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Load(%q): %v; want the scenario of this name, with a description", name, err)
 		}
 	}
 	if _, err := Load("nothing.toml"); err == nil || !strings.Contains(err.Error(), "calm") {
-		t.Errorf("%v", err)
+		t.Errorf("Load of an unknown name: error %v; want one that lists the built-in scenarios", err)
 	}
 }
 
@@ -66,20 +66,20 @@
 `
 
 // The same seed yields the same instance and arrivals; another seed yields others.
-func TestWorldFollowsFromSeed(t *testing.T) {
+func TestInstanceFollowsFromSeed(t *testing.T) {
 	show := func(seed uint64) string {
 		s, faults := Read("small", []byte(smallScenario))
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
 		s.Seed = seed
-		w := NewInstance(s)
+		instance := NewInstance(s)
 		var b strings.Builder
-		for _, d := range w.Destinations {
+		for _, d := range instance.Destinations {
 			fmt.Fprintf(&b, "%d %.3f %v %d\n", d.Number, d.Weight, d.Receivers, len(d.Faults))
 		}
-		fmt.Fprintln(&b, w.AffectedSenders[2])
-		arrivals := w.Arrivals()
+		fmt.Fprintln(&b, instance.AffectedSenders[2])
+		arrivals := instance.Arrivals()
 		for {
 			a, ok := arrivals.Next()
 			if !ok {
@@ -101,28 +101,31 @@
 	for _, shape := range []string{"steady", "ramp", "peak"} {
 		s, _ := Read("small", []byte(smallScenario))
 		s.Traffic.Shape = shape
-		w := NewInstance(s)
+		instance := NewInstance(s)
 		count, grades, thirds, last := 0, [2]int{}, [3]int{}, rules.Millis(0)
 		destinations := map[int]int{}
-		for arrivals := w.Arrivals(); ; count++ {
+		for arrivals := instance.Arrivals(); ; count++ {
 			a, ok := arrivals.Next()
 			if !ok {
 				break
 			}
 			if a.At < last {
-				t.Fatalf("%s: %v after %v", shape, a.At, last)
+				t.Fatalf("shape %s: an arrival at %v follows one at %v; want the order of their times", shape, a.At,
+					last)
 			}
 			last = a.At
 			grades[a.Grade]++
 			destinations[a.Destination]++
-			thirds[min(int(a.At/w.Length*3), 2)]++
+			thirds[min(int(a.At/instance.Length*3), 2)]++
 		}
 		if math.Abs(float64(count)-4000) > 400 || math.Abs(float64(grades[0])/float64(count)-0.75) > 0.05 ||
 			len(destinations) != 10 {
-			t.Errorf("%s: %d notices, grades %v, to %v", shape, count, grades, destinations)
+			t.Errorf("shape %s: %d notices, %v by grade, %v by destination; want 3600 to 4400, 3 to 1, 10 destinations",
+				shape, count, grades, destinations)
 		}
 		if shape == "ramp" && thirds[2] < 3*thirds[0] || shape == "peak" && thirds[1] < 2*thirds[0] {
-			t.Errorf("%s: thirds %v", shape, thirds)
+			t.Errorf("shape %s: %v notices by third of the run; want ramp 3rd >= 3 x 1st, peak 2nd >= 2 x 1st", shape,
+				thirds)
 		}
 	}
 }
@@ -163,7 +166,7 @@
 	}
 }
 
-// The contradictions of a scenario are reported with their lines.
+// Contradictions between the keys of a scenario are reported with their lines.
 func TestReadReportsContradictions(t *testing.T) {
 	bad := strings.NewReplacer(`kind = "kill"`, "kind = \"kill\"\ngroup = \"g\"", `at = "1s"
 part = 0.3`, `at = "30s"
@@ -178,7 +181,7 @@
 }
 
 // The tables of keys in docs/scenarios.md are generated from Table.
-func TestPage(t *testing.T) {
+func TestPageMatchesTable(t *testing.T) {
 	const path = "../../docs/scenarios.md"
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -199,7 +202,8 @@
 	}
 }
 
-// Recorded traffic is replayed as it was written, and faults of its file are reported with their lines.
+// Recorded traffic is replayed as it was written up to the scenario's length, and faults of its file are reported with
+// their lines.
 func TestTrace(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -236,7 +240,7 @@
 		write("t.csv", strings.Join(traceHeader, ",")+"\n0,1,a,,0,0\n"+line+"\n")
 		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), want) ||
 			!strings.Contains(err.Error(), "3") {
-			t.Errorf("%s: %v", line, err)
+			t.Errorf("trace with the line %q: error %v; want one that names line 3 and the field", line, err)
 		}
 	}
 }
--- a/internal/scenario/sick.go
+++ b/internal/scenario/sick.go
@@ -16,7 +16,7 @@
 type setScenario struct{ name, about, extra string }
 
 // failingSet holds scenarios that differ only in their faults. The healthy destinations of each can be compared with
-// the same seed without faults, and the scenarios with one another.
+// those of a run of the same seed without faults, and the scenarios with one another.
 var failingSet = []setScenario{
 	{"sick-tenth-hang", "a tenth of the destinations read calls and never respond",
 		destinationFault(Hang, "0.1", "")},
@@ -72,7 +72,7 @@
 }
 
 // validationSet holds the scenarios on which the model's predictions are compared with runs on sockets. Those whose
-// names begin with "aside" were run only after the model was finished.
+// names begin with "aside" were not run before the model was finished, so that it could not be fitted to them.
 var validationSet = []setScenario{
 	{"hour-slow-refuse", "half of the destinations slow down while others refuse connections",
 		destinationFault(Slow, "0.5", "size = 30\n") + destinationFault(Refuse, "0.25", "")},
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -16,7 +16,7 @@
 // traceHeader is the first line of a file of recorded traffic.
 var traceHeader = []string{"at_ms", "destination", "grade", "portfolio", "key", "body"}
 
-// Recorded is a notice of recorded traffic, with its grade and portfolio by name.
+// Recorded is a notice of recorded traffic: an Arrival whose grade and portfolio are given by name.
 type Recorded struct {
 	At               rules.Millis
 	Destination      int
@@ -36,7 +36,7 @@
 	return w.Error()
 }
 
-// readTrace reads recorded traffic for a scenario. A relative path starts at the directory of the scenario's file.
+// readTrace reads recorded traffic into s.Trace. A relative path is relative to the directory of the scenario's file.
 func (s *Scenario) readTrace(scenarioPath, path string) error {
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(filepath.Dir(scenarioPath), path)
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -21,7 +21,7 @@
 	Faults    []Fault
 }
 
-// Instance is everything that a scenario and its seed determine.
+// Instance is a scenario with everything that the scenario and its seed determine.
 type Instance struct {
 	*Scenario
 	Destinations         []*Destination
@@ -45,26 +45,26 @@
 
 // NewInstance creates the instance of a scenario.
 func NewInstance(s *Scenario) *Instance {
-	w, rng := &Instance{Scenario: s, AffectedSenders: map[int][]int{}}, NewRand(s.Seed, streamLayout)
+	instance, rng := &Instance{Scenario: s, AffectedSenders: map[int][]int{}}, NewRand(s.Seed, streamLayout)
 	for i := range s.Groups {
 		g := &s.Groups[i]
 		for range g.Destinations {
-			d := &Destination{Number: len(w.Destinations) + 1, Group: g}
+			d := &Destination{Number: len(instance.Destinations) + 1, Group: g}
 			for r := range g.Receivers {
 				d.Receivers = append(d.Receivers, fmt.Sprintf("%s-%d-%d", g.Name, d.Number, r+1))
 			}
-			w.Destinations = append(w.Destinations, d)
+			instance.Destinations = append(instance.Destinations, d)
 		}
 	}
-	ranks := rng.Perm(len(w.Destinations))
-	for i, d := range w.Destinations {
+	ranks := rng.Perm(len(instance.Destinations))
+	for i, d := range instance.Destinations {
 		d.Weight = d.Group.Weight / math.Pow(float64(ranks[i]+1), s.Traffic.Zipf)
 	}
 	for i, f := range s.Faults {
 		switch f.Target() {
 		case Destinations:
 			var eligible []*Destination
-			for _, d := range w.Destinations {
+			for _, d := range instance.Destinations {
 				if f.Group == "" || d.Group.Name == f.Group {
 					eligible = append(eligible, d)
 				}
@@ -77,16 +77,17 @@
 				d.Faults = append(d.Faults, f)
 			}
 		case Senders:
-			w.AffectedSenders[i] = rng.Perm(s.Senders)[:shareOf(f.Part, s.Senders)]
+			instance.AffectedSenders[i] = rng.Perm(s.Senders)[:shareOf(f.Part, s.Senders)]
 		}
 	}
 	sum := 0.0
-	for _, d := range w.Destinations {
+	for _, d := range instance.Destinations {
 		sum += d.Weight
-		w.cumulativeWeights = append(w.cumulativeWeights, sum)
+		instance.cumulativeWeights = append(instance.cumulativeWeights, sum)
 	}
-	w.cumulativeGrades, w.cumulativePortfolios = cumulativeSums(s.GradeShares), cumulativeSums(s.PortfolioShares)
-	return w
+	instance.cumulativeGrades, instance.cumulativePortfolios = cumulativeSums(s.GradeShares),
+		cumulativeSums(s.PortfolioShares)
+	return instance
 }
 
 // shareOf returns a share of a count, rounded, but at least 1 where the count allows it.
@@ -135,20 +136,21 @@
 // arrivalHeap orders arrivals by time.
 type arrivalHeap []Arrival
 
-func (p arrivalHeap) Len() int           { return len(p) }
-func (p arrivalHeap) Less(i, j int) bool { return p[i].At < p[j].At }
-func (p arrivalHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *arrivalHeap) Push(x any)        { *p = append(*p, x.(Arrival)) }
-func (p *arrivalHeap) Pop() any          { a := (*p)[len(*p)-1]; *p = (*p)[:len(*p)-1]; return a }
+func (h arrivalHeap) Len() int           { return len(h) }
+func (h arrivalHeap) Less(i, j int) bool { return h[i].At < h[j].At }
+func (h arrivalHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *arrivalHeap) Push(x any)        { *h = append(*h, x.(Arrival)) }
+func (h *arrivalHeap) Pop() any          { a := (*h)[len(*h)-1]; *h = (*h)[:len(*h)-1]; return a }
 
 // Arrivals returns a generator of the instance's notices, from the first one on.
-func (w *Instance) Arrivals() *Arrivals {
-	a := &Arrivals{instance: w, rng: NewRand(w.Seed, streamArrivals), clumpRNG: NewRand(w.Seed, streamClumps),
-		nextClump: rules.Millis(math.Inf(1))}
-	a.nextSingle = a.nextPoissonTime(0, a.rng, w.Traffic.Rate*(1-w.Traffic.ClumpShare))
+func (instance *Instance) Arrivals() *Arrivals {
+	a := &Arrivals{instance: instance, rng: NewRand(instance.Seed, streamArrivals),
+		clumpRNG: NewRand(instance.Seed, streamClumps), nextClump: rules.Millis(math.Inf(1))}
+	a.nextSingle = a.nextPoissonTime(0, a.rng, instance.Traffic.Rate*(1-instance.Traffic.ClumpShare))
 	a.queueFirstNotices()
-	if w.Traffic.ClumpShare > 0 {
-		a.nextClump = a.nextPoissonTime(0, a.clumpRNG, w.Traffic.Rate*w.Traffic.ClumpShare/float64(w.Traffic.ClumpSize))
+	if instance.Traffic.ClumpShare > 0 {
+		a.nextClump = a.nextPoissonTime(0, a.clumpRNG,
+			instance.Traffic.Rate*instance.Traffic.ClumpShare/float64(instance.Traffic.ClumpSize))
 	}
 	return a
 }
@@ -170,15 +172,15 @@
 }
 
 // rateFactor returns the rate at a time, relative to the mean rate.
-func (w *Instance) rateFactor(at rules.Millis) float64 {
-	progress, factor := float64(at/w.Length), 1.0
-	switch w.Traffic.Shape {
+func (instance *Instance) rateFactor(at rules.Millis) float64 {
+	progress, factor := float64(at/instance.Length), 1.0
+	switch instance.Traffic.Shape {
 	case "ramp":
 		factor = 2 * progress
 	case "peak": // half the rate plus a bell curve; the mean over the length is 1
 		factor = 0.5 + 1.5*math.Exp(-math.Pow((progress-0.5)/0.188, 2))
 	}
-	for _, fault := range w.Faults {
+	for _, fault := range instance.Faults {
 		if fault.Kind == Burst && fault.Active(at) {
 			factor *= fault.Size
 		}
@@ -186,10 +188,10 @@
 	return factor
 }
 
-// maxRateFactor returns an upper bound of rateFactor.
-func (w *Instance) maxRateFactor() float64 {
+// maxRateFactor returns an upper bound of rateFactor. The shapes ramp and peak reach 2 without a burst.
+func (instance *Instance) maxRateFactor() float64 {
 	maximum := 2.0
-	for _, fault := range w.Faults {
+	for _, fault := range instance.Faults {
 		if fault.Kind == Burst {
 			maximum *= max(fault.Size, 1)
 		}
@@ -197,8 +199,8 @@
 	return maximum
 }
 
-// nextPoissonTime draws the next time after at of a Poisson process, thinned to the rate factor at each time. Its
-// result is infinite if the traffic ends before.
+// nextPoissonTime draws the next time after at of a Poisson process, thinned to the rate factor at each time. The
+// result is not before the end of the traffic, and may be infinite, if no notice follows.
 func (a *Arrivals) nextPoissonTime(at rules.Millis, rng *rand.Rand, rate float64) rules.Millis {
 	maxFactor := a.instance.maxRateFactor()
 	if rate <= 0 {
@@ -247,17 +249,19 @@
 
 // drawArrival draws the destination, grade, portfolio and key of a notice.
 func (a *Arrivals) drawArrival(rng *rand.Rand, at rules.Millis) Arrival {
-	w := a.instance
-	arrival := Arrival{At: at, Destination: chooseWeighted(rng, w.cumulativeWeights) + 1,
-		Grade: chooseWeighted(rng, w.cumulativeGrades), Portfolio: chooseWeighted(rng, w.cumulativePortfolios),
-		Body: w.Traffic.BodySize}
-	if w.Traffic.KeyCount > 0 && w.Settings.Grades[arrival.Grade].InOrder {
-		arrival.Key = 1 + rng.IntN(w.Traffic.KeyCount)
+	instance := a.instance
+	arrival := Arrival{At: at, Destination: chooseWeighted(rng, instance.cumulativeWeights) + 1,
+		Grade:     chooseWeighted(rng, instance.cumulativeGrades),
+		Portfolio: chooseWeighted(rng, instance.cumulativePortfolios), Body: instance.Traffic.BodySize}
+	if instance.Traffic.KeyCount > 0 && instance.Settings.Grades[arrival.Grade].InOrder {
+		arrival.Key = 1 + rng.IntN(instance.Traffic.KeyCount)
 	}
 	return arrival
 }
 
-// EarnedCredit returns the credit that a notice of a grade earns if it is handled the given time after its submission.
+// EarnedCredit returns the credit that a notice of a grade earns if it is handled the given time after its submission:
+// all of it within the quoted time, none from the client timeout on, and less with every moment in between, but at
+// least LateShare of it.
 func (s *Scenario) EarnedCredit(grade int, after rules.Millis) float64 {
 	g := s.Settings.Grades[grade]
 	switch lateness := float64((after - g.QuotedTime) / max(g.ClientTimeout-g.QuotedTime, 1e-9)); {
