--- a/cmd/chutelab/lab_test.go
+++ b/cmd/chutelab/lab_test.go
@@ -28,10 +28,13 @@
 		args string
 		want []string
 	}{
-		{"lab run --scenario brief --way mix=true --seeds 3 --audit --rows " + rows + " --out " + folder, []string{"| mix=true | 3 |"}},
+		{"lab run --scenario brief --way mix=true --seeds 3 --audit --rows " + rows + " --out " + folder,
+			[]string{"| mix=true | 3 |"}},
 		{"lab run --scenario brief --workers 2", []string{"events a second", "credit 1.0000"}},
-		{"lab compare --scenario sick --b policy=one-try --seeds 4 --out " + folder, []string{"4 seeds", "| credit |", "A is better"}},
-		{"lab compare --scenario sick --b sending.trips=1 --seeds 2 --width 0.01 --most 6", []string{"seeds, the same for both"}},
+		{"lab compare --scenario sick --b policy=one-try --seeds 4 --out " + folder,
+			[]string{"4 seeds", "| credit |", "A is better"}},
+		{"lab compare --scenario sick --b sending.trips=1 --seeds 2 --width 0.01 --most 6",
+			[]string{"seeds, the same for both"}},
 		{"lab compare --rows-a " + rows + " --rows-b " + rows, []string{"no difference seen"}},
 		{"lab sweep --scenario sick --param sending.slots=8,64 --param sending.trips=1,4 --seeds 2 --out " + folder,
 			[]string{"sending.slots=8,sending.trips=4", "sending.slots=64,sending.trips=1"}},
@@ -52,9 +55,10 @@
 			}
 		}
 	}
-	for _, name := range []string{"run.md", "run-credit.svg", "compare.md", "compare-credit.svg", "sweep.md", "sweep.svg"} {
+	for _, name := range []string{"run.md", "run-credit.svg", "compare.md", "compare-credit.svg",
+		"sweep.md", "sweep.svg"} {
 		if info, err := os.Stat(filepath.Join(folder, name)); err != nil || info.Size() < 100 {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: expected a file of at least 100 bytes: %v", name, err)
 		}
 	}
 }
@@ -62,12 +66,14 @@
 // A plan that exceeds --memory ends with an error that names the cause and says that the completed runs are kept.
 func TestLabMemory(t *testing.T) {
 	rows := filepath.Join(t.TempDir(), "rows.jsonl")
-	_, err := run(t, "lab", "run", "--scenario", "mixed", "--seeds", "2000", "--parallel", "2", "--memory", "0.001", "--rows", rows)
+	_, err := run(t, "lab", "run", "--scenario", "mixed", "--seeds", "2000",
+		"--parallel", "2", "--memory", "0.001", "--rows", rows)
 	if err == nil || !strings.Contains(err.Error(), "over --memory") || !strings.Contains(err.Error(), "are kept") {
 		t.Error(err)
 	}
 }
 
+// Each wrong use fails with an error that names the mistake.
 func TestLabMisused(t *testing.T) {
 	for args, want := range map[string]string{
 		"lab compare --b ours=1":                     "--b",
@@ -83,7 +89,7 @@
 		"sick --only nothing":                        "--only nothing",
 	} {
 		if _, err := run(t, strings.Fields(args)...); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", args, err)
+			t.Errorf("%s: not the expected error: %v", args, err)
 		}
 	}
 }
@@ -101,12 +107,12 @@
 	}
 	out, err := run(t, "lab", "trace", log)
 	if want := "at_ms,destination,grade,portfolio,key,body\n0.000,1,dispatch,acme,0,10\n250.000,2,status,acme,1,40\n"; err != nil || out != want {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("error %v, or not the expected output:\n%s", err, out)
 	}
 	if err := os.WriteFile(log, []byte("no JSON\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := run(t, "lab", "trace", log); err == nil || !strings.Contains(err.Error(), "n0.log:1") {
-		t.Errorf("%v", err)
+		t.Errorf("expected an error that names n0.log:1, got %v", err)
 	}
 }
--- a/cmd/chutelab/main.go
+++ b/cmd/chutelab/main.go
@@ -32,9 +32,9 @@
 	return root
 }
 
-// sender returns the path of the sender's program: the named one, or else chuteweir in this program's directory or in
+// senderProgram returns the path of the sender's program: the named one, or else chuteweir in this program's directory or in
 // PATH.
-func sender(named string) (string, error) {
+func senderProgram(named string) (string, error) {
 	if named != "" {
 		return exec.LookPath(named)
 	}
--- a/cmd/chutelab/sick.go
+++ b/cmd/chutelab/sick.go
@@ -33,8 +33,8 @@
 
 // sickCommand returns the command that measures the effect of failing destinations on healthy ones.
 func sickCommand() *cobra.Command {
-	var s sickOptions
-	c := &cobra.Command{
+	var options sickOptions
+	command := &cobra.Command{
 		Use: "sick", Short: "Measure the effect of failing destinations on healthy ones", Args: cli.Args(cobra.NoArgs),
 		Long: `sick runs the scenarios in which some destinations fail (in try --list, those that begin with sick-), and each
 of them again with the same seed and without faults. It compares the notices to the healthy destinations of both runs
@@ -44,47 +44,50 @@
   chuteweir sick --only sick-half-hang,sick-restart --relay
   chuteweir sick --slots 4 --destinations 4 --rate 40
   chuteweir sick --relay --out docs/measurements --name sick`,
-		RunE: func(c *cobra.Command, _ []string) error {
-			for _, name := range s.only {
+		RunE: func(command *cobra.Command, _ []string) error {
+			for _, name := range options.only {
 				if !slices.Contains(scenario.FailingSet(), name) {
 					return cli.UsageErrorf("--only %s: must be one of %s", name, strings.Join(scenario.FailingSet(), ", "))
 				}
 			}
-			if s.slots < 0 || s.destinations < 0 || s.rate < 0 || s.parallel < 1 {
+			if options.slots < 0 || options.destinations < 0 || options.rate < 0 || options.parallel < 1 {
 				return cli.UsageErrorf("--slots, --destinations and --rate must be at least 0, --parallel at least 1")
 			}
-			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
+			ctx, stop := signal.NotifyContext(command.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			return s.run(ctx, c.OutOrStdout())
+			return options.run(ctx, command.OutOrStdout())
 		},
 	}
-	f := c.Flags()
-	f.StringSliceVar(&s.only, "only", nil, "run only these scenarios")
-	f.IntVar(&s.slots, "slots", 0, "maximum of outstanding calls, in place of the scenarios' 40")
-	f.IntVar(&s.destinations, "destinations", 0, "number of destinations, in place of the scenarios' 40")
-	f.IntVar(&s.sockets, "sockets", 0, "the sender's limit of file descriptors, in place of the scenarios' 1024")
-	f.Float64Var(&s.rate, "rate", 0, "notices a second, in place of the scenarios' 400")
-	f.Uint64Var(&s.seed, "seed", 1, "seed of all random numbers")
-	f.IntVar(&s.parallel, "parallel", 1, "number of concurrent runs")
-	f.BoolVar(&s.relay, "relay", false, "run the plain relay too, as the baseline")
-	f.StringVar(&s.program, "program", "", "the sender's program; by default the one in the directory of this program")
-	f.StringVar(&s.out, "out", "", "directory for the table and charts")
-	f.StringVar(&s.name, "name", "sick", "with --out: base name of the files")
-	return c
+	flagSet := command.Flags()
+	flagSet.StringSliceVar(&options.only, "only", nil, "run only these scenarios")
+	flagSet.IntVar(&options.slots, "slots", 0, "maximum of outstanding calls, in place of the scenarios' 40")
+	flagSet.IntVar(&options.destinations, "destinations", 0, "number of destinations, in place of the scenarios' 40")
+	flagSet.IntVar(&options.sockets, "sockets", 0,
+		"the sender's limit of file descriptors, in place of the scenarios' 1024")
+	flagSet.Float64Var(&options.rate, "rate", 0, "notices a second, in place of the scenarios' 400")
+	flagSet.Uint64Var(&options.seed, "seed", 1, "seed of all random numbers")
+	flagSet.IntVar(&options.parallel, "parallel", 1, "number of concurrent runs")
+	flagSet.BoolVar(&options.relay, "relay", false, "run the plain relay too, as the baseline")
+	flagSet.StringVar(&options.program, "program", "",
+		"the sender's program; by default the one in the directory of this program")
+	flagSet.StringVar(&options.out, "out", "", "directory for the table and charts")
+	flagSet.StringVar(&options.name, "name", "sick", "with --out: base name of the files")
+	return command
 }
 
-// sickCase holds the results of one scenario: calm without its faults, hit with them, and relay with them but with the
-// plain relay in place of the sender. trouble and baseline are the effects of the faults in hit and in relay.
+// sickCase holds the results of one scenario: calm without its faults, withFaults with them, and relay with them but
+// with the plain relay in place of the sender. impact and relayImpact are the effects of the faults in withFaults and
+// in relay.
 type sickCase struct {
-	name              string
-	calm, hit, relay  *trial.Result
-	trouble, baseline trial.FailureImpact
+	name                    string
+	calm, withFaults, relay *trial.Result
+	impact, relayImpact     trial.FailureImpact
 }
 
 // run runs the chosen scenarios, prints the table and writes the files of --out. It returns an error if a run broke a
 // rule.
 func (s *sickOptions) run(ctx context.Context, out io.Writer) error {
-	program, err := sender(s.program)
+	program, err := senderProgram(s.program)
 	if err != nil {
 		return fmt.Errorf("finding the sender's program: %w", err)
 	}
@@ -100,34 +103,40 @@
 	var runs []func() (*trial.Result, error)
 	var storeResults []func(*trial.Result)
 	for _, name := range names {
-		c := &sickCase{name: name}
-		cases = append(cases, c)
-		hit, err := scenario.Load(name)
+		current := &sickCase{name: name}
+		cases = append(cases, current)
+		loaded, err := scenario.Load(name)
 		if err != nil {
 			return err
 		}
-		s.scale(hit)
-		struck := scenario.NewInstance(hit)
-		isSick := func(d int) bool { return len(struck.Destinations[d-1].Faults) > 0 }
-		play := func(sc *scenario.Scenario, start trial.NewCommand, to func(*trial.Result)) {
+		s.scale(loaded)
+		instance := scenario.NewInstance(loaded)
+		isFailing := func(d int) bool { return len(instance.Destinations[d-1].Faults) > 0 }
+		addRun := func(toRun *scenario.Scenario, start trial.NewCommand, store func(*trial.Result)) {
 			runs = append(runs, func() (*trial.Result, error) {
-				return trial.Run(ctx, trial.Options{Scenario: sc, Start: start, IsFailing: isSick})
+				return trial.Run(ctx, trial.Options{Scenario: toRun, Start: start, IsFailing: isFailing})
 			})
-			storeResults = append(storeResults, to)
+			storeResults = append(storeResults, store)
 		}
 		serve := trial.ServeCommand(program, "info")
-		play(hit.WithoutFaults(), serve, func(r *trial.Result) { c.calm = r })
-		play(hit, serve, func(r *trial.Result) { c.hit, c.trouble = r, r.FailureImpact(isSick) })
+		addRun(loaded.WithoutFaults(), serve, func(r *trial.Result) { current.calm = r })
+		addRun(loaded, serve, func(r *trial.Result) {
+			current.withFaults, current.impact = r, r.FailureImpact(isFailing)
+		})
 		if s.relay {
-			play(hit, trial.RelayCommand(self), func(r *trial.Result) { c.relay, c.baseline = r, r.FailureImpact(isSick) })
+			addRun(loaded, trial.RelayCommand(self), func(r *trial.Result) {
+				current.relay, current.relayImpact = r, r.FailureImpact(isFailing)
+			})
 		}
 	}
 	done := 0
-	err = runParallel(len(runs), s.parallel, func(i int) (*trial.Result, error) { return runs[i]() }, func(r *trial.Result) error {
-		storeResults[done](r)
-		done++
-		return nil
-	})
+	err = runParallel(len(runs), s.parallel,
+		func(i int) (*trial.Result, error) { return runs[i]() },
+		func(r *trial.Result) error {
+			storeResults[done](r)
+			done++
+			return nil
+		})
 	if err != nil {
 		return err
 	}
@@ -139,11 +148,11 @@
 		}
 	}
 	broken := 0
-	for _, c := range cases {
-		for _, r := range []*trial.Result{c.calm, c.hit} {
+	for _, tested := range cases {
+		for _, r := range []*trial.Result{tested.calm, tested.withFaults} {
 			if !r.Clean() {
 				broken++
-				fmt.Fprintf(out, "\n%s:\n%s", c.name, r.Breaches[0])
+				fmt.Fprintf(out, "\n%s:\n%s", tested.name, r.Breaches[0])
 			}
 		}
 	}
@@ -154,28 +163,28 @@
 }
 
 // scale replaces the sizes of a scenario by those that the flags give.
-func (s *sickOptions) scale(sc *scenario.Scenario) {
-	sc.Seed = s.seed
+func (s *sickOptions) scale(target *scenario.Scenario) {
+	target.Seed = s.seed
 	if s.slots > 0 {
-		sc.Settings.Slots = s.slots
+		target.Settings.Slots = s.slots
 	}
 	if s.sockets > 0 {
-		sc.Machine.Sockets = s.sockets
+		target.Machine.Sockets = s.sockets
 	}
 	if s.rate > 0 {
-		sc.Traffic.Rate = s.rate
-		sc.Settings.HoldLimit = max(sc.Settings.HoldLimit, int(10*s.rate))
-		sc.Machine.MemoryMB = max(sc.Machine.MemoryMB, int(s.rate))
+		target.Traffic.Rate = s.rate
+		target.Settings.HoldLimit = max(target.Settings.HoldLimit, int(10*s.rate))
+		target.Machine.MemoryMB = max(target.Machine.MemoryMB, int(s.rate))
 	}
 	if s.destinations > 0 {
 		// The sizes of the groups keep their proportions.
 		all := 0
-		for _, g := range sc.Groups {
+		for _, g := range target.Groups {
 			all += g.Destinations
 		}
-		for i := range sc.Groups {
-			g := &sc.Groups[i]
-			if len(sc.Groups) > 1 && g.Destinations == 1 {
+		for i := range target.Groups {
+			g := &target.Groups[i]
+			if len(target.Groups) > 1 && g.Destinations == 1 {
 				g.Weight *= float64(s.destinations) / float64(all) // a single destination keeps its share of the traffic
 				continue
 			}
@@ -186,39 +195,42 @@
 
 // table formats the figures of healthy destinations and the effect of the failing ones, one row for each scenario.
 func (s *sickOptions) table(cases []*sickCase) string {
-	var b strings.Builder
-	w := cases[0].hit.Instance
-	fmt.Fprintf(&b, "%.0f notices a second, about %d destinations, %d slots, seed %d; faults from 1 to 6 s of 8; "+
+	var text strings.Builder
+	instance := cases[0].withFaults.Instance
+	fmt.Fprintf(&text, "%.0f notices a second, about %d destinations, %d slots, seed %d; faults from 1 to 6 s of 8; "+
 		"figures of healthy destinations,\ncompared with a run of the same seed without faults (calm)\n\n",
-		w.Traffic.Rate, len(w.Destinations), w.Settings.Slots, w.Seed)
-	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
-	fmt.Fprint(t, "scenario\tnotices\tcredit\tof calm\tp99 ms\tof calm\tslots of the sick\tfurther\tload of the sick\tCPU of calm\trules")
+		instance.Traffic.Rate, len(instance.Destinations), instance.Settings.Slots, instance.Seed)
+	writer := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
+	fmt.Fprint(writer,
+		"scenario\tnotices\tcredit\tof calm\tp99 ms\tof calm\tslots of the sick\tfurther\tload of the sick\tCPU of calm\trules")
 	if s.relay {
-		fmt.Fprint(t, "\trelay: credit of calm\tp99 ms\tfurther\tload")
+		fmt.Fprint(writer, "\trelay: credit of calm\tp99 ms\tfurther\tload")
 	}
-	fmt.Fprintln(t)
-	for _, c := range cases {
-		calm, hit, verdict := c.calm.Well, c.hit.Well, "kept"
-		if !c.calm.Clean() || !c.hit.Clean() {
+	fmt.Fprintln(writer)
+	for _, tested := range cases {
+		calm, withFaults, verdict := tested.calm.Well, tested.withFaults.Well, "kept"
+		if !tested.calm.Clean() || !tested.withFaults.Clean() {
 			verdict = "BROKEN"
 		}
-		fmt.Fprintf(t, "%s\t%d\t%.3f\t%s\t%.1f\t%s\t%.2f\t%.3f\t%.2f\t%.2f\t%s", strings.TrimPrefix(c.name, "sick-"), hit.Asked, hit.Credit,
-			ratio(hit.Credit, calm.Credit), hit.Delivery.P99, ratio(hit.Delivery.P99, calm.Delivery.P99), c.trouble.MostSlots,
-			c.trouble.Further, c.trouble.MostLoad, c.hit.CPU/c.calm.CPU, verdict)
+		fmt.Fprintf(writer, "%s\t%d\t%.3f\t%s\t%.1f\t%s\t%.2f\t%.3f\t%.2f\t%.2f\t%s",
+			strings.TrimPrefix(tested.name, "sick-"), withFaults.Asked, withFaults.Credit,
+			ratio(withFaults.Credit, calm.Credit), withFaults.Delivery.P99,
+			ratio(withFaults.Delivery.P99, calm.Delivery.P99), tested.impact.MostSlots, tested.impact.Further,
+			tested.impact.MostLoad, tested.withFaults.CPU/tested.calm.CPU, verdict)
 		if s.relay {
-			fmt.Fprintf(t, "\t%s\t%.1f\t%.3f\t%.2f", ratio(c.relay.Well.Credit, calm.Credit), c.relay.Well.Delivery.P99, c.baseline.Further,
-				c.baseline.MostLoad)
+			fmt.Fprintf(writer, "\t%s\t%.1f\t%.3f\t%.2f", ratio(tested.relay.Well.Credit, calm.Credit),
+				tested.relay.Well.Delivery.P99, tested.relayImpact.Further, tested.relayImpact.MostLoad)
 		}
-		fmt.Fprintln(t)
+		fmt.Fprintln(writer)
 	}
-	t.Flush()
-	fmt.Fprint(&b, `
+	writer.Flush()
+	fmt.Fprint(&text, `
 slots of the sick: the highest share of all slots that calls to failing destinations held at once. further: calls beyond
 each notice's first that a gateway saw, divided by the number of wanted notices. load of the sick: the highest number of
 calls that reached failing destinations within half a second, divided by the mean number of their wanted notices in that
 time; calls for their backlog count too.
 `)
-	return b.String()
+	return text.String()
 }
 
 // ratio formats a/b, or a dash if b is 0.
@@ -234,17 +246,19 @@
 	if err := os.MkdirAll(s.out, 0o755); err != nil {
 		return fmt.Errorf("creating the directory for the results: %w", err)
 	}
-	slots := chart.Chart{Title: "Slots held by sick destinations", X: "s", Y: "share of all slots", YMin: 0, YMax: 1,
+	slots := chart.Chart{Title: "Slots held by failing destinations", X: "s", Y: "share of all slots", YMin: 0, YMax: 1,
 		Bands: []chart.Band{{Name: "sick", From: 1, To: 6}}}
-	load := chart.Chart{Title: "Calls that reached sick destinations", X: "s", Y: "for each notice wanted", Bands: slots.Bands}
-	for _, c := range cases {
-		one, other := chart.Series{Name: strings.TrimPrefix(c.name, "sick-")}, chart.Series{}
-		other.Name = one.Name
-		for i, at := range c.trouble.At {
-			one.X, one.Y = append(one.X, float64(at)/1000), append(one.Y, c.trouble.SlotsShare[i])
-			other.X, other.Y = append(other.X, float64(at)/1000), append(other.Y, c.trouble.Load[i])
+	load := chart.Chart{Title: "Calls that reached failing destinations", X: "s", Y: "for each notice wanted",
+		Bands: slots.Bands}
+	for _, tested := range cases {
+		slotsLine, loadLine := chart.Series{Name: strings.TrimPrefix(tested.name, "sick-")}, chart.Series{}
+		loadLine.Name = slotsLine.Name
+		for i, at := range tested.impact.At {
+			slotsLine.X, slotsLine.Y = append(slotsLine.X, float64(at)/1000),
+				append(slotsLine.Y, tested.impact.SlotsShare[i])
+			loadLine.X, loadLine.Y = append(loadLine.X, float64(at)/1000), append(loadLine.Y, tested.impact.Load[i])
 		}
-		slots.Lines, load.Lines = append(slots.Lines, one), append(load.Lines, other)
+		slots.Lines, load.Lines = append(slots.Lines, slotsLine), append(load.Lines, loadLine)
 	}
 	if err := slots.Save(filepath.Join(s.out, s.name+"-slots.svg")); err != nil {
 		return err
--- a/cmd/chutelab/trace.go
+++ b/cmd/chutelab/trace.go
@@ -25,20 +25,20 @@
 many. Notices that were rejected are not included.`,
 		Example: `  chuteweir serve --log-format json --log-level debug sender.toml 2>n0.log
   chutelab lab trace n0.log n1.log > peak.csv`,
-		RunE: func(c *cobra.Command, paths []string) error {
+		RunE: func(command *cobra.Command, paths []string) error {
 			var notices []scenario.Recorded
 			var times []time.Time
 			keys := map[string]int{}
 			for _, path := range paths {
-				f, err := os.Open(path)
+				file, err := os.Open(path)
 				if err != nil {
 					return fmt.Errorf("reading a log: %w", err)
 				}
-				defer f.Close()
-				in := bufio.NewScanner(f)
-				in.Buffer(nil, 1<<20)
-				for line := 1; in.Scan(); line++ {
-					var l struct {
+				defer file.Close()
+				lines := bufio.NewScanner(file)
+				lines.Buffer(nil, 1<<20)
+				for line := 1; lines.Scan(); line++ {
+					var entry struct {
 						Time        time.Time `json:"time"`
 						Message     string    `json:"msg"`
 						Grade       string    `json:"grade"`
@@ -47,20 +47,20 @@
 						Destination int       `json:"destination"`
 						Body        int       `json:"body"`
 					}
-					if err := json.Unmarshal(in.Bytes(), &l); err != nil {
+					if err := json.Unmarshal(lines.Bytes(), &entry); err != nil {
 						return fmt.Errorf("%s:%d: expected a log line in JSON: %w", path, line, err)
 					}
-					if l.Message != logs.Taken {
+					if entry.Message != logs.Taken {
 						continue
 					}
-					if l.Key != "" && l.Key != "0" && keys[l.Key] == 0 {
-						keys[l.Key] = len(keys) + 1
+					if entry.Key != "" && entry.Key != "0" && keys[entry.Key] == 0 {
+						keys[entry.Key] = len(keys) + 1
 					}
-					notices = append(notices, scenario.Recorded{Destination: l.Destination, Grade: l.Grade, Portfolio: l.Portfolio,
-						Key: keys[l.Key], Body: l.Body})
-					times = append(times, l.Time)
+					notices = append(notices, scenario.Recorded{Destination: entry.Destination, Grade: entry.Grade,
+						Portfolio: entry.Portfolio, Key: keys[entry.Key], Body: entry.Body})
+					times = append(times, entry.Time)
 				}
-				if err := in.Err(); err != nil {
+				if err := lines.Err(); err != nil {
 					return fmt.Errorf("reading %s: %w", path, err)
 				}
 			}
@@ -72,7 +72,7 @@
 				notices[i].At = rules.Millis(times[i].Sub(first)) / rules.Millis(time.Millisecond)
 			}
 			slices.SortStableFunc(notices, func(a, b scenario.Recorded) int { return cmp.Compare(a.At, b.At) })
-			return scenario.WriteTrace(c.OutOrStdout(), notices)
+			return scenario.WriteTrace(command.OutOrStdout(), notices)
 		},
 	}
 }
--- a/cmd/chutelab/try.go
+++ b/cmd/chutelab/try.go
@@ -23,7 +23,7 @@
 	var seed uint64
 	var length time.Duration
 	var asJSON, list, mix bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "try", Short: "Run a scenario against senders with stand-ins and report the results", Args: cli.Args(cobra.NoArgs),
 		Long: `try starts a stand-in platform, gateways and clients on free loopback ports and as many senders as the scenario
 says, runs the scenario, checks the recorded events against the six rules, and prints a table. It fails if a rule was
@@ -32,8 +32,8 @@
   chuteweir try --scenario mixed --senders 3 --seed 7
   chuteweir try --scenario my.toml --keep run --log-level debug
   chuteweir try --scenario brief --mix --seeds 200 --parallel 4`,
-		RunE: func(c *cobra.Command, _ []string) error {
-			out := c.OutOrStdout()
+		RunE: func(command *cobra.Command, _ []string) error {
+			out := command.OutOrStdout()
 			if list {
 				for _, name := range scenario.Builtin() {
 					s, err := scenario.Load(name)
@@ -44,67 +44,67 @@
 				}
 				return nil
 			}
-			path, err := sender(program)
+			path, err := senderProgram(program)
 			if err != nil {
 				return fmt.Errorf("finding the sender's program: %w", err)
 			}
-			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
+			ctx, stop := signal.NotifyContext(command.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			prepare := func(i int) (trial.Options, error) {
-				s, err := scenario.Load(name)
+				loaded, err := scenario.Load(name)
 				if err != nil {
 					return trial.Options{}, err
 				}
-				if c.Flags().Changed("seed") {
-					s.Seed = seed
+				if command.Flags().Changed("seed") {
+					loaded.Seed = seed
 				}
-				s.Seed += uint64(i)
+				loaded.Seed += uint64(i)
 				if senders > 0 {
-					s.Senders, s.Settings.Senders = senders, senders
+					loaded.Senders, loaded.Settings.Senders = senders, senders
 				}
 				if length > 0 {
-					s.Length = millis(length)
+					loaded.Length = millis(length)
 				}
 				if mix {
-					scenario.Mix(s)
+					scenario.Mix(loaded)
 				}
-				o := trial.Options{Scenario: s, Start: trial.ServeCommand(path, level), KeepDir: keep}
+				options := trial.Options{Scenario: loaded, Start: trial.ServeCommand(path, level), KeepDir: keep}
 				if seeds > 1 && keep != "" {
-					o.KeepDir = fmt.Sprintf("%s/seed-%d", keep, s.Seed)
+					options.KeepDir = fmt.Sprintf("%s/seed-%d", keep, loaded.Seed)
 				}
 				if seeds == 1 && !asJSON && term.IsTerminal(int(os.Stderr.Fd())) {
-					o.Progress = progress
+					options.Progress = progress
 				}
-				return o, nil
+				return options, nil
 			}
 			broken := 0
-			report := func(r *trial.Result) error {
-				if !r.Clean() {
+			report := func(result *trial.Result) error {
+				if !result.Clean() {
 					broken++
 				}
 				switch {
 				case asJSON:
-					return json.NewEncoder(out).Encode(r)
+					return json.NewEncoder(out).Encode(result)
 				case seeds == 1:
-					r.WriteTable(out)
+					result.WriteTable(out)
 					return nil
 				}
-				fmt.Fprintln(out, line(r))
-				for _, b := range r.Breaches[:min(len(r.Breaches), 3)] {
+				fmt.Fprintln(out, formatResult(result))
+				for _, b := range result.Breaches[:min(len(result.Breaches), 3)] {
 					fmt.Fprintln(out, "  "+strings.ReplaceAll(b.String(), "\n", "\n  "))
 				}
 				return nil
 			}
 			err = runParallel(seeds, parallel, func(i int) (*trial.Result, error) {
-				o, err := prepare(i)
+				options, err := prepare(i)
 				if err != nil {
 					return nil, err
 				}
-				r, err := trial.Run(ctx, o)
-				if o.Progress != nil {
+				result, err := trial.Run(ctx, options)
+				if options.Progress != nil {
 					fmt.Fprint(os.Stderr, "\r\x1b[K")
 				}
-				return r, err
+				return result, err
 			}, report)
 			if err != nil {
 				return err
@@ -115,28 +115,29 @@
 			return nil
 		},
 	}
-	f := c.Flags()
-	f.StringVar(&name, "scenario", "calm", "scenario file, or the name of a built-in scenario")
-	f.BoolVar(&list, "list", false, "list the built-in scenarios")
-	f.IntVar(&senders, "senders", 0, "number of senders, instead of the scenario's")
-	f.Uint64Var(&seed, "seed", 1, "random seed, instead of the scenario's")
-	f.IntVar(&seeds, "seeds", 1, "number of seeds to run")
-	f.IntVar(&parallel, "parallel", 1, "with --seeds: number of concurrent runs")
-	f.BoolVar(&mix, "mix", false, "replace the scenario's faults by random ones that the seed determines")
-	f.DurationVar(&length, "length", 0, "duration in which notices are submitted, instead of the scenario's length")
-	f.BoolVar(&asJSON, "json", false, "print the results as JSON, one line for each run")
-	f.StringVar(&keep, "keep", "", "directory in which to keep configurations, ledgers and logs")
-	f.StringVar(&program, "program", "", "sender program; default: chuteweir in this program's directory, else in PATH")
-	f.StringVar(&level, "log-level", "info", "level of the senders' logs; debug traces each notice")
-	return c
+	flagSet := command.Flags()
+	flagSet.StringVar(&name, "scenario", "calm", "scenario file, or the name of a built-in scenario")
+	flagSet.BoolVar(&list, "list", false, "list the built-in scenarios")
+	flagSet.IntVar(&senders, "senders", 0, "number of senders, instead of the scenario's")
+	flagSet.Uint64Var(&seed, "seed", 1, "random seed, instead of the scenario's")
+	flagSet.IntVar(&seeds, "seeds", 1, "number of seeds to run")
+	flagSet.IntVar(&parallel, "parallel", 1, "with --seeds: number of concurrent runs")
+	flagSet.BoolVar(&mix, "mix", false, "replace the scenario's faults by random ones that the seed determines")
+	flagSet.DurationVar(&length, "length", 0, "duration in which notices are submitted, instead of the scenario's length")
+	flagSet.BoolVar(&asJSON, "json", false, "print the results as JSON, one line for each run")
+	flagSet.StringVar(&keep, "keep", "", "directory in which to keep configurations, ledgers and logs")
+	flagSet.StringVar(&program, "program", "",
+		"sender program; default: chuteweir in this program's directory, else in PATH")
+	flagSet.StringVar(&level, "log-level", "info", "level of the senders' logs; debug traces each notice")
+	return command
 }
 
 // runParallel makes count runs, up to parallel at a time, and passes their results to report in order. It stops at the
 // first error.
 func runParallel(count, parallel int, run func(int) (*trial.Result, error), report func(*trial.Result) error) error {
 	type outcome struct {
-		r   *trial.Result
-		err error
+		result *trial.Result
+		err    error
 	}
 	results, slots := make([]chan outcome, count), make(chan struct{}, max(parallel, 1))
 	for i := range results {
@@ -157,7 +158,7 @@
 		if done.err != nil {
 			return done.err
 		}
-		if err := report(done.r); err != nil {
+		if err := report(done.result); err != nil {
 			return err
 		}
 	}
@@ -166,15 +167,17 @@
 
 // progress rewrites the progress line of a terminal.
 func progress(p trial.Progress) {
-	fmt.Fprintf(os.Stderr, "\r\x1b[K%5.1f of %.0f s  %d notices, %d open", max(p.At/1000, 0), p.Length/1000, p.Offered, p.Open)
+	fmt.Fprintf(os.Stderr, "\r\x1b[K%5.1f of %.0f s  %d notices, %d open",
+		max(p.At/1000, 0), p.Length/1000, p.Offered, p.Open)
 }
 
-// line formats a run's result as one line.
-func line(r *trial.Result) string {
+// formatResult formats a run's result as one line.
+func formatResult(r *trial.Result) string {
 	verdict := "kept"
 	if !r.Clean() {
 		verdict = fmt.Sprintf("%d breaches", len(r.Breaches))
 	}
-	return fmt.Sprintf("seed %-4d credit %.3f (well %.3f)  delivered %d of %d  p50 %.1f p99 %.1f ms  calls %d  rules %s", r.Seed,
-		r.All.Credit, r.Well.Credit, r.All.Delivered, r.All.Asked, r.All.Delivery.P50, r.All.Delivery.P99, r.Calls, verdict)
+	return fmt.Sprintf("seed %-4d credit %.3f (well %.3f)  delivered %d of %d  p50 %.1f p99 %.1f ms  calls %d  rules %s",
+		r.Seed, r.All.Credit, r.Well.Credit, r.All.Delivered, r.All.Asked, r.All.Delivery.P50, r.All.Delivery.P99,
+		r.Calls, verdict)
 }
