--- a/internal/loop/admission.go
+++ b/internal/loop/admission.go
@@ -39,8 +39,8 @@
 		l.lastNumber++
 		l.acceptedIDs.add(r.ID, l.now)
 		l.heldBytes += r.Body.Held()
-		l.notices[l.lastNumber] = &heldNotice{id: r.ID, mark: r.Mark, destination: r.Destination, acceptedAt: l.clock.Now(),
-			body: r.Body, request: r}
+		l.notices[l.lastNumber] = &heldNotice{id: r.ID, mark: r.Mark, destination: r.Destination,
+			acceptedAt: l.clock.Now(), body: r.Body, request: r}
 		submitted = append(submitted, l.lastNumber)
 		l.events = append(l.events, rules.NoticeAccepted{Notice: l.lastNumber, Grade: r.Grade, Portfolio: r.Portfolio,
 			Key: r.Key, Destination: r.Destination, TimeLeft: r.ClientTimeout, Waited: toMillis(l.readDelay(r)),
@@ -101,9 +101,10 @@
 		}
 		err := l.ledger.RecordAccepted(ledger.Notice{Number: number, ID: r.ID, Mark: r.Mark,
 			Grade:     settings.Name(l.config.Names.Grades, int(r.Grade)),
-			Portfolio: settings.Name(l.config.Names.Portfolios, int(r.Portfolio)), Key: r.Key, Destination: r.Destination,
-			Until: l.now.Add(toDuration(r.ClientTimeout)), TakenAt: n.acceptedAt,
-			WaitedMS: int64(math.Ceil(float64(toMillis(l.readDelay(r))))), Inherited: r.Inherited, Body: r.Body.AppendTo(nil)})
+			Portfolio: settings.Name(l.config.Names.Portfolios, int(r.Portfolio)), Key: r.Key,
+			Destination: r.Destination, Until: l.now.Add(toDuration(r.ClientTimeout)), TakenAt: n.acceptedAt,
+			WaitedMS: int64(math.Ceil(float64(toMillis(l.readDelay(r))))), Inherited: r.Inherited,
+			Body: r.Body.AppendTo(nil)})
 		if err != nil {
 			l.withdraw(number, r)
 			continue
--- a/internal/loop/arrivals_test.go
+++ b/internal/loop/arrivals_test.go
@@ -19,11 +19,11 @@
 		step(time.Millisecond)
 	}
 	if waited := a.maxReadDelay(now); waited > 2*normalReadTime {
-		t.Errorf("read delay of up to %v without a pause", waited)
+		t.Errorf("read delay of up to %v without a pause, want at most twice normalReadTime", waited)
 	}
 	step(pause)
 	step(time.Millisecond)
 	if waited := a.maxReadDelay(now); waited < pause {
-		t.Errorf("read delay of up to %v, less than the pause of %v", waited, pause)
+		t.Errorf("read delay of up to %v after a pause, want at least the pause of %v", waited, pause)
 	}
 }
--- a/internal/loop/counters.go
+++ b/internal/loop/counters.go
@@ -69,7 +69,8 @@
 		slog.Int("further", c.FurtherTrips), slog.Int("out", c.CallsInFlight), slog.Int("held", c.NoticesHeld),
 		slog.Int("short", c.LocalShortages), slog.Int("dismissed_for_room", c.DismissedForCapacity),
 		slog.Int("written_in_wait", c.WrittenDuringWait), slog.Int("recalled", c.Recalled),
-		slog.Int("unheard", c.UnreadBuffers), slog.Int("handled_late", c.HandledLate), slog.Int("unasked", c.Unsolicited),
+		slog.Int("unheard", c.UnreadBuffers), slog.Int("handled_late", c.HandledLate),
+		slog.Int("unasked", c.Unsolicited),
 		slog.Int("connections", c.Connections), slog.Int("ambiguous", c.Ambiguous), slog.Int("doubted", c.Retracted),
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -36,7 +36,8 @@
 	Limits                   limits.Limits
 }
 
-// heldNotice is a notice that the sender still has to deliver or to end, or whose last outcome is unconfirmed.
+// heldNotice is a notice that still needs a delivery or a final outcome, that has a trip in flight, or whose last
+// outcome is unconfirmed.
 type heldNotice struct {
 	id, mark string
 
@@ -71,13 +72,13 @@
 	lastNumber           rules.NoticeID
 	awaitingConfirmation int             // number of ended notices that are held until their outcomes are confirmed
 	restored             []ledger.Notice // pending since an earlier process, not yet passed to the decisions
-	heldBytes            int
+	heldBytes            int             // memory that the bodies of notices take
 	acceptedIDs          recentIDs
 	endedIDs             recentIDs   // notices whose final outcome was reported, which must not happen twice
 	timers               []time.Time // requested by the decisions
 	events               []rules.Event
-	nextSweep            time.Time
-	shutdownAt           time.Time
+	nextSweep            time.Time // when connections are next checked against their time limits
+	shutdownAt           time.Time // time of the shutdown signal, or zero
 	counters             Counters
 	pacer                pacer
 	tracing              bool // the steps of each notice are logged
@@ -94,10 +95,11 @@
 		l.acceptedIDs.retention = max(l.acceptedIDs.retention, toDuration(g.ClientTimeout))
 		l.endedIDs.retention = l.acceptedIDs.retention
 	}
-	// Each call needs a connection, and the rest of a response may occupy one for a while longer. More slots than
-	// that could not be served.
+	// Each call needs a connection, and a sixteenth of the connections is left for those that are still receiving the
+	// rest of a response. Slots beyond that could not be used.
 	if maxSlots := c.Limits.Receivers - c.Limits.Receivers/16; l.config.Settings.Slots > maxSlots {
-		log.Warn(logs.SlotsCapped, "slots", l.config.Settings.Slots, "connections", c.Limits.Receivers, "capped", maxSlots)
+		log.Warn(logs.SlotsCapped, "slots", l.config.Settings.Slots, "connections", c.Limits.Receivers,
+			"capped", maxSlots)
 		l.config.Settings.Slots = maxSlots
 	}
 	// This sender's calls carry one notice each.
@@ -282,7 +284,8 @@
 	l.directory.SetTime(now)
 }
 
-// recallAll recalls the calls whose connections have been established now that no trip may begin any more.
+// recallAll recalls all calls whose connections were established in this turn. It replaces the decisions when the
+// time for sending after a shutdown signal is over.
 func (l *Loop) recallAll() {
 	for _, e := range l.events {
 		if up, ok := e.(rules.ConnectionUp); ok {
--- a/internal/loop/outcomes.go
+++ b/internal/loop/outcomes.go
@@ -14,8 +14,8 @@
 // This file records the results of trips and the final outcomes of notices in the ledger, and reports the latter to
 // the platform.
 
-// recordOutcome counts a trip's result and records in the ledger what it means for the notice. A delivery that may
-// have come after the client timeout still needs a final outcome.
+// recordOutcome counts a trip's result, and records in the ledger that the notice has ended or that the trip has not
+// run. A notice whose delivery may have come after the client timeout still needs a final outcome.
 func (l *Loop) recordOutcome(e rules.TripEnded) {
 	n := l.notices[e.Notice]
 	n.inFlight = false
@@ -67,16 +67,16 @@
 		r == rules.Recalled
 }
 
-// confirmTime returns how long after a response of a receiver the correct one would still arrive, if that response
-// belonged to another call.
+// confirmTime returns how long to wait after a response of a receiver for the correct one, in case the response
+// belongs to another call.
 func (l *Loop) confirmTime(receiver rules.ReceiverID) time.Duration {
 	return toDuration(l.sender.ConfirmTime(receiver))
 }
 
-// waitsToSettle reports whether a call waits for a connection that is still settling, rather than opening a new
-// one.
-func (l *Loop) waitsToSettle(receiver rules.ReceiverID, left, comesUp time.Duration) bool {
-	return l.sender.WaitsToSettle(receiver, toMillis(left), toMillis(comesUp))
+// waitsToSettle reports whether a call waits for a connection that will have settled when the time left is over,
+// rather than opening a new one. The last new connection to the receiver took connectTime to connect.
+func (l *Loop) waitsToSettle(receiver rules.ReceiverID, left, connectTime time.Duration) bool {
+	return l.sender.WaitsToSettle(receiver, toMillis(left), toMillis(connectTime))
 }
 
 // writeOutcomeOnceConfirmed records in the ledger that a notice is ended or that its last trip has not run. An
@@ -109,8 +109,8 @@
 	for _, c := range l.calls.Confirmed() {
 		l.applyConfirmation(c)
 	}
-	for _, d := range l.calls.Retractions() {
-		l.retractOutcome(d)
+	for _, retraction := range l.calls.Retractions() {
+		l.retractOutcome(retraction)
 	}
 	for _, receiver := range l.calls.UnsolicitedFrom() {
 		l.events = append(l.events, rules.UnsolicitedBytes{Receiver: receiver})
@@ -142,24 +142,25 @@
 // retractOutcome retracts a trip's outcome: it is no longer known whether the notice was delivered or the trip
 // never ran. A notice that had ended is reported to the platform as given up, which does no harm if it was
 // delivered.
-func (l *Loop) retractOutcome(d calls.Retraction) {
-	n := l.notices[d.Notice]
+func (l *Loop) retractOutcome(retraction calls.Retraction) {
+	n := l.notices[retraction.Notice]
 	l.counters.Retracted++
-	l.log.Warn(logs.OutcomeRetracted, "id", d.ID, "notice", d.Notice, "receiver", d.Receiver,
-		"written_ago", l.now.Sub(d.WrittenAt), "held", n != nil && !n.ended)
-	l.events = append(l.events, rules.OutcomeRetracted{Notice: d.Notice, Receiver: d.Receiver,
-		SentAgo: toMillis(l.now.Sub(d.WrittenAt))})
+	l.log.Warn(logs.OutcomeRetracted, "id", retraction.ID, "notice", retraction.Notice, "receiver", retraction.Receiver,
+		"written_ago", l.now.Sub(retraction.WrittenAt), "held", n != nil && !n.ended)
+	l.events = append(l.events, rules.OutcomeRetracted{Notice: retraction.Notice, Receiver: retraction.Receiver,
+		SentAgo: toMillis(l.now.Sub(retraction.WrittenAt))})
 	switch {
-	case n == nil && l.endedIDs.has(d.ID):
+	case n == nil && l.endedIDs.has(retraction.ID):
 	case n == nil:
-		l.endedIDs.add(d.ID, l.now)
+		l.endedIDs.add(retraction.ID, l.now)
 		l.counters.GivenUp++
-		l.directory.ReportOutcome(directory.FinalOutcome{Notice: d.Notice, Message: d.ID, Outcome: directory.GivenUp})
+		l.directory.ReportOutcome(directory.FinalOutcome{Notice: retraction.Notice, Message: retraction.ID,
+			Outcome: directory.GivenUp})
 	case !n.ended:
 		n.unconfirmed = false
 	case n.unconfirmed:
 		l.awaitingConfirmation--
-		l.endNotice(d.Notice, directory.GivenUp, 0)
+		l.endNotice(retraction.Notice, directory.GivenUp, 0)
 	}
 }
 
@@ -192,7 +193,7 @@
 	return err
 }
 
-// release frees a notice that is ended, has no trip in flight and no unconfirmed outcome.
+// release frees a notice if it is ended and has neither a trip in flight nor an unconfirmed outcome.
 func (l *Loop) release(number rules.NoticeID, n *heldNotice) {
 	if n.ended && !n.inFlight && !n.unconfirmed {
 		l.heldBytes -= n.body.Held()
@@ -212,7 +213,8 @@
 			l.counters.HandedBack++
 		}
 		if l.tracing {
-			l.log.Debug(logs.Ended, "id", n.id, "notice", number, "outcome", outcome, "retry_in_ms", float64(retryAfter))
+			l.log.Debug(logs.Ended, "id", n.id, "notice", number, "outcome", outcome,
+				"retry_in_ms", float64(retryAfter))
 		}
 		l.endedIDs.add(n.id, l.now)
 		l.logLedgerError(l.ledger.RecordOutcome(number, outcome, float64(retryAfter)))
--- a/internal/loop/outcomes_test.go
+++ b/internal/loop/outcomes_test.go
@@ -13,6 +13,7 @@
 	l := &Loop{notices: map[rules.NoticeID]*heldNotice{1: n}}
 	l.applyConfirmation(calls.Confirmation{Notice: 1, Trip: 1})
 	if !n.unconfirmed || len(l.events) > 0 {
-		t.Errorf("unconfirmed %v, events %v", n.unconfirmed, l.events)
+		t.Errorf("after the confirmation of an earlier trip: unconfirmed %v, events %v, want true and none",
+			n.unconfirmed, l.events)
 	}
 }
--- a/internal/loop/pace_test.go
+++ b/internal/loop/pace_test.go
@@ -40,6 +40,6 @@
 the clock stepped back: spacing 0s
 `
 	if diff := cmp.Diff(want, b.String()); diff != "" {
-		t.Errorf("-want +got:\n%s", diff)
+		t.Errorf("share and spacing, -want +got:\n%s", diff)
 	}
 }
--- a/internal/loop/recent.go
+++ b/internal/loop/recent.go
@@ -17,7 +17,7 @@
 	return inCurrent || inPrevious
 }
 
-// add remembers an id from now on.
+// add remembers an id from the given time on.
 func (r *recentIDs) add(id string, at time.Time) {
 	if !at.Before(r.rotateAt) {
 		r.current, r.previous, r.rotateAt = map[string]struct{}{}, r.current, at.Add(r.retention)
--- a/internal/loop/restore.go
+++ b/internal/loop/restore.go
@@ -30,8 +30,8 @@
 	l.restored = append(l.restored, n)
 }
 
-// reportRestored passes the restored notices to the decisions. The durations in its events are relative to the time
-// of the turn, which is also the decisions' reference.
+// reportRestored passes the restored notices to the decisions. The durations in its events count from the time of
+// the turn, which the decisions take for the current time.
 func (l *Loop) reportRestored() {
 	if len(l.restored) == 0 {
 		return
