--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -70,10 +70,10 @@
 	return now.Nano() / int64(time.Millisecond), true
 }
 
-// Stepped returns by how much the wall clock was set forward between m and a later moment of the same boot; a
+// StepUntil returns by how much the wall clock was set forward between m and a later moment of the same boot; a
 // negative result means that it was set back. It is 0 if the moments can't be compared, and for differences below
 // minStep.
-func (m Moment) Stepped(later Moment) time.Duration {
+func (m Moment) StepUntil(later Moment) time.Duration {
 	if m.Boot == "" || m.Boot != later.Boot || later.Monotonic < m.Monotonic {
 		return 0
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -23,7 +23,7 @@
 		{Moment{Wall: 8_602_000, Monotonic: 9_000, Boot: "a"}, 0},
 		{Moment{Wall: 8_602_000}, 0},
 	} {
-		if got := at.Stepped(c.later); got != c.want {
+		if got := at.StepUntil(c.later); got != c.want {
 			t.Errorf("step until %+v: got %v, want %v", c.later, got, c.want)
 		}
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -53,7 +53,7 @@
 // AdjustForClockStep corrects the notice's wall clock times if the wall clock was stepped between TakenAt and now. It
 // returns the step.
 func (n *Notice) AdjustForClockStep(now clock.Moment) (stepped time.Duration) {
-	stepped = n.TakenAt.Stepped(now)
+	stepped = n.TakenAt.StepUntil(now)
 	n.Until = n.Until.Add(stepped)
 	for i := range n.PossibleRuns {
 		n.PossibleRuns[i].At = n.PossibleRuns[i].At.Add(stepped)
--- a/internal/loop/outcomes.go
+++ b/internal/loop/outcomes.go
@@ -186,7 +186,7 @@
 		l.confirmOutcome(c.Notice, n)
 	}
 	// By the wall clock as it stood when the notice was accepted, like the notice's other times.
-	at := l.now.Add(-n.acceptedAt.Stepped(l.clock.Now()))
+	at := l.now.Add(-n.acceptedAt.StepUntil(l.clock.Now()))
 	err := l.ledger.RecordTrip(c.Notice, ledger.Trip{At: at, Zone: zone})
 	l.logLedgerError(err)
 	n.tripRecorded = err == nil
--- a/rules/exchanges.go
+++ b/rules/exchanges.go
@@ -33,8 +33,8 @@
 }
 
 // WaitsToSettle reports whether a call waits for a connection that will have settled when the time left is
-// over, rather than for a new connection. A new one costs the receiver work, and delays the call by the
-// connect time and a handshake.
+// over, rather than for a new connection. A new one costs the receiver work, and delays the call by a
+// handshake and by about connectTime, which the last new connection took.
 func (s *Sender) WaitsToSettle(id ReceiverID, left, connectTime Millis) bool {
 	if rc := s.receivers[id]; rc != nil {
 		connectTime = max(connectTime, settleShare*rc.route.meanDelay)
