--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -106,7 +106,7 @@
 
 	MalformedResponses         int // responses that were malformed or truncated before their call had an outcome
 	ResponsesWithTrailingBytes int // complete responses that did not announce a close, followed by more bytes
-	StaleConnections           int // times that an idle connection had unread bytes or was closed when it was needed
+	StaleConnections           int // idle connections that received bytes, or were found closed when a call needed one
 	UnsolicitedReads           int // times that unsolicited bytes arrived, including bytes that follow a response
 }
 
