--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -75,7 +75,7 @@
 		t.Errorf("-want +got:\n%s", diff)
 	}
 	if _, err := reader.Next(); err != io.EOF {
-		t.Errorf("after the last batch: %v", err)
+		t.Errorf("after the last batch: got %v, want io.EOF", err)
 	}
 }
 
@@ -120,7 +120,7 @@
 	reader := NewReader(bytes.NewReader(frame(3, fmt.Sprintf("1080 05 %08x", 0x0200)+entries, listUpdate)))
 	batch, err := reader.Next()
 	if err != nil || len(batch.Records[0].Content.(rules.ListUpdated).Entries) != count {
-		t.Errorf("a list of %d entries: %v", count, err)
+		t.Errorf("want a list of %d entries; error: %v", count, err)
 	}
 }
 
@@ -157,7 +157,7 @@
 		}
 		_, err := NewReader(bytes.NewReader(in)).Next()
 		if err == nil || err == io.EOF {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got %v, want an error other than io.EOF", name, err)
 		}
 	}
 }
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -71,16 +71,16 @@
 // flagInherited marks a notice that another sender held until it died.
 const flagInherited = 16
 
-// standingByCode maps the readiness codes of list entries.
-var standingByCode = map[uint8]rules.ReceiverStatus{0: rules.Gone, 1: rules.Ready, 2: rules.Draining}
+// statusByReadiness maps the readiness codes of list entries.
+var statusByReadiness = map[uint8]rules.ReceiverStatus{0: rules.Gone, 1: rules.Ready, 2: rules.Draining}
 
-// resultByStatus maps the status codes of verdicts.
+// resultByStatus maps the status codes of verdicts, which are the outcomes of trips.
 var resultByStatus = map[uint8]rules.Result{
 	0: rules.Handled, 5: rules.Errored, 11: rules.Full, 104: rules.Reset, 110: rules.TimedOut,
 	111: rules.NotConnected, 114: rules.NotSent, 125: rules.Cancelled,
 }
 
-// Reader reads batches. It keeps the numbered receiver lists, which all instances of the process share.
+// Reader reads batches. It stores the receiver lists by their numbers; all instances refer to the same lists.
 type Reader struct {
 	in    io.Reader
 	lists map[uint8][]rules.Entry
@@ -146,7 +146,8 @@
 	return nil
 }
 
-// decodeRecord decodes one record. Content stays nil for records that no event of package rules corresponds to.
+// decodeRecord decodes one record, without the fields that package rules doesn't use. Content stays nil for records
+// that no event of package rules corresponds to; their fields are read only to detect truncated records.
 func (r *Reader) decodeRecord(code uint16, in *fields) (Record, error) {
 	switch code {
 	case codeSnapshotRows:
@@ -201,11 +202,11 @@
 		entry.Zone = rules.ZoneID(in.u8())
 		entry.Kind = rules.KindID(in.u16())
 		entry.Destination = rules.DestinationID(in.u16())
-		standing, known := standingByCode[in.u8()]
+		status, known := statusByReadiness[in.u8()]
 		if !known {
 			return fmt.Errorf("list %d: entry %d: unknown readiness code", number, i)
 		}
-		entry.Status = standing
+		entry.Status = status
 		entry.ListedRate = in.float()
 		in.u64()
 	}
@@ -290,7 +291,7 @@
 	return rules.DestinationID(number)
 }
 
-// millis converts the wire's microseconds.
+// millis converts the wire's microseconds to the unit of package rules.
 func millis[T uint32 | uint64](us T) rules.Millis { return rules.Millis(us) / 1000 }
 
 // fields decodes the fields of a record in order. Reading past the end yields zeros and sets truncated.
@@ -327,7 +328,7 @@
 	return v
 }
 
-// report reads a list of floats preceded by its length.
+// report reads a load report: a list of floats preceded by its length.
 func (f *fields) report() []float64 {
 	values := make([]float64, f.u8())
 	for i := range values {
--- a/internal/benchwire/encode.go
+++ b/internal/benchwire/encode.go
@@ -22,7 +22,7 @@
 	codeStreamChanges = 1100
 )
 
-// Writer writes the replies to batches.
+// Writer writes the replies to batches. A reply holds the actions added since the last Flush.
 type Writer struct {
 	out   *bufio.Writer
 	body  []byte
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// Flush writes the added actions as the reply to the batch with that number.
+// Flush writes the added actions as the reply to the batch with the given number.
 func (w *Writer) Flush(number uint32) error {
 	var header [12]byte
 	binary.LittleEndian.PutUint32(header[0:], number)
