--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -56,7 +56,7 @@
 }
 
 // groupByInstance groups a batch's records by instance, in the order of their first record. It creates and removes
-// senders; the events before a Destroyed are dropped with their sender.
+// senders; the events before a Destroyed are dropped with their sender. Groups without a sender are left out.
 func (s *senderSet) groupByInstance(records []benchwire.Record) []*instanceEvents {
 	var groups []*instanceEvents
 	byInstance := map[benchwire.Instance]*instanceEvents{}
