--- a/cmd/chuteweir/bursts_test.go
+++ b/cmd/chuteweir/bursts_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// burst sends several requests at once on one connection. It returns the statuses of the answers that arrive, and
-// whether the last one announces that the connection is closed. It calls afterFirst after the first answer.
+// burst sends several requests at once on one connection, and calls afterFirst after the first answer. It returns the
+// statuses of the answers that arrive, and whether the last one announces that the connection is closed.
 func (env *environment) burst(requests []string, afterFirst func()) (statuses []int, closing bool) {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.listen)
@@ -36,7 +36,7 @@
 	return statuses, closing
 }
 
-// doNothing is for bursts with nothing to do after the first answer.
+// doNothing is the afterFirst of bursts with nothing to do after the first answer.
 func doNothing() {}
 
 // submissions returns valid requests with different ids and with bodies of a size.
@@ -64,11 +64,12 @@
 		name := fmt.Sprintf("%dx%d", size.count, size.body)
 		statuses, closing := env.burst(submissions(name, size.count, size.body), doNothing)
 		if len(statuses) != size.count || closing {
-			t.Errorf("%s: %d answers, closing: %v", name, len(statuses), closing)
+			t.Errorf("%s: %d answers, closing: %v; want one for each request, and an open connection",
+				name, len(statuses), closing)
 		}
 		for i, status := range statuses {
 			if status != 202 {
-				t.Errorf("%s: answer %d is %d", name, i, status)
+				t.Errorf("%s: answer %d is %d, want 202", name, i, status)
 				break
 			}
 		}
@@ -100,12 +101,13 @@
 		requests := append(append(submissions(name[1:4]+fmt.Sprint(len(refused)), 3, 10), refused),
 			submissions(fmt.Sprint(len(refused)), 6, 9000)...)
 		if statuses, closing := env.burst(requests, doNothing); len(statuses) != 10 || closing {
-			t.Errorf("requests after %q: answers %v, closing: %v", name, statuses, closing)
+			t.Errorf("requests after %q: answers %v, closing: %v; want 10 answers and an open connection",
+				name, statuses, closing)
 		}
 	}
 	refused := slices.Repeat([]string{submission("x", "a", 12000, 1, "")}, 300)
 	if statuses, closing := env.burst(refused, doNothing); len(statuses) != 300 || !closing {
-		t.Errorf("300 refused at once: %d answers, closing: %v", len(statuses), closing)
+		t.Errorf("300 refused at once: %d answers, closing: %v; want 300, the last one closing", len(statuses), closing)
 	}
 	env.shutDown()
 }
@@ -118,12 +120,12 @@
 			func() { env.sender.Process.Signal(syscall.SIGTERM) })
 		for i, status := range statuses {
 			if status != 202 && status != 503 {
-				t.Errorf("answer %d is %d", i, status)
+				t.Errorf("answer %d is %d, want 202 or 503", i, status)
 			}
 		}
 		if len(statuses) != size.count || statuses[len(statuses)-1] == 503 && !closing {
-			t.Errorf("%d answers to %d requests of %d bytes, the last one closing: %v", len(statuses), size.count,
-				size.body, closing)
+			t.Errorf("%d answers to %d requests of %d bytes, the last one closing: %v; want all, and a close after a 503",
+				len(statuses), size.count, size.body, closing)
 		}
 		env.sender.Wait()
 	}
--- a/cmd/chuteweir/clock_test.go
+++ b/cmd/chuteweir/clock_test.go
@@ -75,7 +75,7 @@
 			env.startSender()
 			env.awaitReport("held", deadline.Add(maxReportDelay))
 			if early := time.Until(deadline); early > maxReportDelay {
-				t.Errorf("ended %v before its client timeout", early)
+				t.Errorf("ended %v before its client timeout, want at most maxReportDelay", early)
 			}
 		})
 	}
--- a/cmd/chuteweir/commands.go
+++ b/cmd/chuteweir/commands.go
@@ -20,7 +20,7 @@
 	"github.com/spf13/cobra"
 )
 
-// rootCommand returns the command line for operators and scripts.
+// rootCommand returns the root of the commands for operators and scripts.
 func rootCommand() *cobra.Command {
 	root := cli.Prepare(&cobra.Command{
 		Use:   "chuteweir",
--- a/cmd/chuteweir/deadlines_test.go
+++ b/cmd/chuteweir/deadlines_test.go
@@ -20,14 +20,14 @@
 	senderPause = 150 * time.Millisecond
 	// maxReportDelay is how long after its client timeout the final outcome of a notice must be reported.
 	maxReportDelay = 300 * time.Millisecond
-	// extraNotices is how many more notices in the ledger make a start slow.
+	// extraNotices is how many further notices in the ledger make the start of a sender slow.
 	extraNotices = 16_000
-	// ledgerCapacity is the capacity, in bytes, of a ledger with these.
+	// ledgerCapacity is the capacity, in bytes, of a ledger that can hold extraNotices.
 	ledgerCapacity = 256 << 20
 )
 
-// seedLedger writes a ledger as a killed sender leaves it: the given notices with their trips, and extraNotices
-// more for destination 2, whose only receiver is draining.
+// seedLedger writes a ledger such as a killed sender leaves: the given notices with their trips, after extraNotices
+// others for destination 2, whose only receiver is draining.
 func (env *environment) seedLedger(notices ...ledger.Notice) {
 	env.t.Helper()
 	seeded, _, err := ledger.Open(env.stateDirectory, ledgerCapacity)
@@ -123,8 +123,8 @@
 	time.Sleep(time.Second)
 }
 
-// submitReadLate submits a notice while the sender is paused, so that it is read late by the delay. It returns the
-// deadline by the client timeout, and makes receivers respond half the delay after that deadline.
+// submitReadLate submits a notice while the sender is paused, so that the sender reads it after the delay. It returns
+// the end of the notice's client timeout, and makes receivers respond half the delay after that time.
 func (env *environment) submitReadLate(grade, id string, timeout, delay time.Duration) (deadline time.Time) {
 	env.t.Helper()
 	env.must(env.sender.Process.Signal(syscall.SIGSTOP))
@@ -162,8 +162,8 @@
 	env.awaitLines(1, `platform: {"message":"late","outcome":"given_up"`)
 }
 
-// Guards against taking a response for timely that arrived after the client timeout, when the sender was paused
-// over both and compares against a clock reading from before the pause.
+// Guards against counting a response as a delivery although it arrived after the client timeout: a sender that was
+// paused over both events must not compare with a clock reading from before the pause.
 func TestNoticeIsReportedWhenPausedSenderReadsResponseLate(t *testing.T) {
 	// A resumed sender may handle the timeout before the response, which would hide the fault.
 	const attempts = 4 // of each grade
--- a/cmd/chuteweir/exchanges_test.go
+++ b/cmd/chuteweir/exchanges_test.go
@@ -84,14 +84,14 @@
 	}
 }
 
-// messageResults holds what happened to each message of a test, by message id.
-type messageResults struct {
-	mu       sync.Mutex
-	messages map[string]*messageResult
+// noticeResults holds what happened to each notice of a test, by the notice's id.
+type noticeResults struct {
+	mu      sync.Mutex
+	notices map[string]*noticeResult
 }
 
-// messageResult is what happened to one message.
-type messageResult struct {
+// noticeResult is what happened to one notice.
+type noticeResult struct {
 	atMostOnce           bool // it must not take effect twice
 	accepted             bool
 	delivered            bool // a receiver responded to it with 200
@@ -99,33 +99,33 @@
 	calls, finalOutcomes int
 }
 
-// submissionTime is how long messages are submitted, and scriptedTimeout is their client timeout.
+// submissionTime is how long notices are submitted, and scriptedTimeout is their client timeout.
 const (
 	submissionTime  = 6 * time.Second
 	scriptedTimeout = 3 * time.Second
 )
 
 // recordCall records a call and whether it takes effect.
-func (r *messageResults) recordCall(id string, executes bool) {
+func (r *noticeResults) recordCall(id string, executes bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	message := r.messages[id]
-	message.calls++
+	notice := r.notices[id]
+	notice.calls++
 	if executes {
-		message.executions++
+		notice.executions++
 	}
 }
 
 // recordDelivery records that a receiver responded with 200.
-func (r *messageResults) recordDelivery(id string) {
+func (r *noticeResults) recordDelivery(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.messages[id].delivered = true
+	r.notices[id].delivered = true
 }
 
-// submitMany submits messages at random intervals of a given mean, and waits until the client timeout of all has
-// passed. Most messages are for a few of the destinations, and two of five have the at-most-once grade.
-func (env *environment) submitMany(results *messageResults, destinations int, meanInterval time.Duration) {
+// submitMany submits notices at random intervals of a given mean, and waits until the client timeouts of all have
+// passed. Most notices are for a few of the destinations, and two of five have the at-most-once grade.
+func (env *environment) submitMany(results *noticeResults, destinations int, meanInterval time.Duration) {
 	var pending sync.WaitGroup
 	random := rand.New(rand.NewPCG(37, 37))
 	end := time.Now().Add(submissionTime)
@@ -135,14 +135,14 @@
 			grade = "order"
 		}
 		results.mu.Lock()
-		results.messages[id] = &messageResult{atMostOnce: grade == "order"}
+		results.notices[id] = &noticeResult{atMostOnce: grade == "order"}
 		results.mu.Unlock()
 		destination := firstScriptedDestination + int(float64(destinations)*math.Pow(random.Float64(), 2))
 		pending.Go(func() {
 			accepted := env.sendRaw(
 				submission(grade, id, int(scriptedTimeout.Milliseconds()), destination, "body")) == "202 Accepted"
 			results.mu.Lock()
-			results.messages[id].accepted = accepted
+			results.notices[id].accepted = accepted
 			results.mu.Unlock()
 		})
 		time.Sleep(time.Duration(random.ExpFloat64() * float64(meanInterval)))
@@ -151,9 +151,9 @@
 	time.Sleep(scriptedTimeout + 400*time.Millisecond)
 }
 
-// checkResults checks that each accepted message was delivered or its final outcome reported, and that no
-// at-most-once message took effect twice.
-func (env *environment) checkResults(results *messageResults) {
+// checkResults checks that each accepted notice was delivered or its final outcome reported, and that no
+// at-most-once notice took effect twice.
+func (env *environment) checkResults(results *noticeResults) {
 	env.t.Helper()
 	results.mu.Lock()
 	defer results.mu.Unlock()
@@ -162,40 +162,40 @@
 			continue
 		}
 		for id := range strings.SplitSeq(line, `"message":"`) {
-			if message := results.messages[strings.SplitN(id, `"`, 2)[0]]; message != nil {
-				message.finalOutcomes++
+			if notice := results.notices[strings.SplitN(id, `"`, 2)[0]]; notice != nil {
+				notice.finalOutcomes++
 			}
 		}
 	}
 	accepted, delivered, lost, twice := 0, 0, 0, 0
-	for _, message := range results.messages {
-		if message.atMostOnce && message.executions > 1 {
+	for _, notice := range results.notices {
+		if notice.atMostOnce && notice.executions > 1 {
 			twice++
 		}
-		if !message.accepted {
+		if !notice.accepted {
 			continue
 		}
 		accepted++
 		switch {
-		case message.delivered:
+		case notice.delivered:
 			delivered++
-		case message.finalOutcomes == 0:
+		case notice.finalOutcomes == 0:
 			lost++
 		}
 	}
-	env.t.Logf("%d messages, %d accepted, %d delivered, %d lost, %d took effect twice",
-		len(results.messages), accepted, delivered, lost, twice)
+	env.t.Logf("%d notices, %d accepted, %d delivered, %d lost, %d took effect twice",
+		len(results.notices), accepted, delivered, lost, twice)
 	if lost+twice > 0 {
-		env.t.Errorf("%d messages lost, %d took effect twice", lost, twice)
+		env.t.Errorf("%d notices lost, %d took effect twice; want none", lost, twice)
 	}
 	if delivered < 100 {
-		env.t.Errorf("%d messages delivered; want at least 100 for a meaningful test", delivered)
+		env.t.Errorf("%d notices delivered; want at least 100 for a meaningful test", delivered)
 	}
 }
 
-// duplicatePlan is how a receiver writes one successful response in ten a second time.
+// duplicatePlan describes a receiver that writes about one successful response in ten twice.
 type duplicatePlan struct {
-	slots          string        // of the sender, in its settings
+	slots          string        // the sender's setting
 	responseDelay  time.Duration // of a response to its call
 	duplicateDelay time.Duration // of the duplicate after the response
 	nextStatus     int           // of the response to the next call on that connection, which takes nextResponseDelay
@@ -205,8 +205,8 @@
 // nextResponseDelay is the delay of the response to the call that follows a duplicated response.
 const nextResponseDelay = 80 * time.Millisecond
 
-// duplicatingReceiver returns a script that follows a plan.
-func duplicatingReceiver(results *messageResults, plan duplicatePlan) func(receivedCall) bool {
+// duplicatingReceiver returns a receiver's script that follows a plan.
+func duplicatingReceiver(results *noticeResults, plan duplicatePlan) func(receivedCall) bool {
 	var mu sync.Mutex
 	duplicated := map[net.Conn]bool{}
 	return func(call receivedCall) bool {
@@ -252,7 +252,7 @@
 }
 
 // Guards against taking the duplicate of a response for the response to the next call on the connection: that call's
-// message would count as delivered although its receiver refused it.
+// notice would count as delivered although its receiver refused it.
 func TestDuplicateResponseIsNotAttributedToNextCall(t *testing.T) {
 	const ms = time.Millisecond
 	plans := map[string]duplicatePlan{
@@ -264,14 +264,14 @@
 		"70ms":          {slots: "6", responseDelay: 30 * ms, duplicateDelay: 70 * ms, nextStatus: 503},
 		"150ms":         {slots: "2", responseDelay: 30 * ms, duplicateDelay: 150 * ms, nextStatus: 503},
 		"400ms":         {slots: "6", responseDelay: 30 * ms, duplicateDelay: 400 * ms, nextStatus: 503},
-		"held up": {slots: "6", responseDelay: 30 * ms, duplicateDelay: 7 * ms, nextStatus: 503,
+		"paused sender": {slots: "6", responseDelay: 30 * ms, duplicateDelay: 7 * ms, nextStatus: 503,
 			pausesSender: true},
 	}
 	for name, plan := range plans {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			env := startEnvironment(t, "slots = 8", "slots = "+plan.slots, "hold = 50", "hold = 200")
-			results := &messageResults{messages: map[string]*messageResult{}}
+			results := &noticeResults{notices: map[string]*noticeResult{}}
 			env.addScriptedReceivers(usualDestinations, duplicatingReceiver(results, plan))
 			stop := func() {}
 			if plan.pausesSender {
@@ -284,8 +284,8 @@
 	}
 }
 
-// unsolicitedPlan is how receivers write, once on each connection, an unsolicited response while its second call is
-// in flight.
+// unsolicitedPlan describes receivers that write one unsolicited response on each connection, while the second call on
+// it is in flight.
 type unsolicitedPlan struct {
 	firstStatus       int           // of the response to each receiver's first call
 	unsolicitedStatus int           // of the unsolicited response, written while the second call is in flight
@@ -294,9 +294,9 @@
 	secondDelay       time.Duration // of the response to the second call, after the unsolicited one
 }
 
-// unsolicitedReceiver returns a script that follows a plan. It writes the unsolicited response only after it has
-// received the second call on the connection, however late that comes.
-func unsolicitedReceiver(results *messageResults, plan unsolicitedPlan) func(receivedCall) bool {
+// unsolicitedReceiver returns a receiver's script that follows a plan. It writes the unsolicited response only after it
+// has received the second call on the connection, however late that comes.
+func unsolicitedReceiver(results *noticeResults, plan unsolicitedPlan) func(receivedCall) bool {
 	var mu sync.Mutex
 	called := map[string]bool{}
 	return func(call receivedCall) bool {
@@ -350,7 +350,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			env := startEnvironment(t, "hold = 50", "hold = 200")
-			results := &messageResults{messages: map[string]*messageResult{}}
+			results := &noticeResults{notices: map[string]*noticeResult{}}
 			env.addScriptedReceivers(destinations, unsolicitedReceiver(results, plan))
 			env.submitMany(results, destinations, 24*ms)
 			env.checkResults(results)
--- a/cmd/chuteweir/main.go
+++ b/cmd/chuteweir/main.go
@@ -9,6 +9,7 @@
 
 func main() { cli.Exit("chuteweir", run()) }
 
+// run runs a sender with the environment's configuration if there are no arguments, else the command that they name.
 func run() error {
 	// The platform starts a sender without arguments, so this path does not build the command line for operators.
 	if len(os.Args) == 1 {
--- a/cmd/chuteweir/main_test.go
+++ b/cmd/chuteweir/main_test.go
@@ -138,7 +138,7 @@
 		started := time.Now()
 		env.record("%s: %s", name, env.sendRaw(request))
 		if time.Since(started) > 3*time.Second {
-			t.Errorf("%s: answered or closed only after %v", name, time.Since(started))
+			t.Errorf("%s: answered or closed only after %v, want at most 3 s", name, time.Since(started))
 		}
 	}
 	env.respondWith(func(*standin.ReceivedCall) standin.Reply {
@@ -404,7 +404,7 @@
 	before := len(handedBack)
 	collectReports() // those reported by the second process are added
 	if restored < accepted-len(handedBack) || restored > accepted-before {
-		t.Errorf("%d accepted, %d and then %d handed back, %d restored: %s",
+		t.Errorf("%d accepted, %d and then %d handed back, %d restored; want all restored that were not handed back: %s",
 			accepted, before, len(handedBack), restored, env.log)
 	}
 }
@@ -508,7 +508,7 @@
 			started := time.Now()
 			env.submit("note", fmt.Sprint("n-", i), 12000, 1)
 			if time.Since(started) > 400*time.Millisecond {
-				t.Errorf("answered only after %v", time.Since(started))
+				t.Errorf("answered only after %v, want at most 400 ms", time.Since(started))
 			}
 		}
 	}
--- a/cmd/chuteweir/serve.go
+++ b/cmd/chuteweir/serve.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// loopConfig returns the part of a configuration that the loop uses.
+// loopConfig returns the part of a configuration that package loop uses.
 func loopConfig(loaded config.Config) loop.Config {
 	return loop.Config{Listen: loaded.Listen, Discovery: loaded.Discovery, State: loaded.State, Seed: loaded.Seed,
 		Settings: loaded.Settings, Names: loaded.Names, Known: loaded.Known, Limits: loaded.Limits()}
--- a/cmd/chuteweir/waits_test.go
+++ b/cmd/chuteweir/waits_test.go
@@ -17,7 +17,7 @@
 	*environment
 	mu          sync.Mutex
 	requestedAt time.Time
-	until       time.Time // the end of the wait
+	until       time.Time // end of the wait
 	callsInWait []string
 }
 
--- a/cmd/chuteweir/world_test.go
+++ b/cmd/chuteweir/world_test.go
@@ -27,7 +27,7 @@
 // This file holds the test environment: the simulated gateways and platform around a sender process, and a record of
 // what they receive from it.
 
-// testScenario is the scenario that the tests run, with a few values replaced by some of them.
+// testScenario is the scenario that all tests run. Some tests replace a few of its values.
 const testScenario = `
 name = "made up"
 [machine]
@@ -92,16 +92,16 @@
 
 // environment is a sender process under test, with the simulated gateways and platform around it.
 type environment struct {
-	t        *testing.T
-	instance *standin.Environment
-	gateways *standin.Gateways
-	platform *standin.Platform
-
-	mu               sync.Mutex
-	trace            []string // a line for each call, outcome report and answer to a client, in the order received
-	acceptsReports   bool     // whether the platform accepts outcome reports; if not, it responds with 500
-	unreadableReport string   // the platform responds with 400 to reports that contain this text, unless it is empty
-	listReplacement  string   // what the platform sends in place of the receiver list, unless it is empty
+	t          *testing.T
+	simulation *standin.Environment // of the gateways and the platform
+	gateways   *standin.Gateways
+	platform   *standin.Platform
+
+	mu               sync.Mutex // guards the fields up to respond
+	trace            []string   // a line for each call, outcome report and answer to a client, in the order received
+	acceptsReports   bool       // whether the platform accepts outcome reports; if not, it responds with 500
+	unreadableReport string     // the platform responds with 400 to reports that contain this text, unless it is empty
+	listReplacement  string     // what the platform sends in place of the receiver list, unless it is empty
 	respond          func(*standin.ReceivedCall) standin.Reply
 
 	listen, stateDirectory, configPath string
@@ -119,15 +119,15 @@
 	}
 	env := &environment{t: t, acceptsReports: true, stateDirectory: t.TempDir(),
 		configPath: filepath.Join(t.TempDir(), "config.json"),
-		instance:   standin.NewEnvironment(scenario.NewInstance(parsed)),
+		simulation: standin.NewEnvironment(scenario.NewInstance(parsed)),
 		respond:    func(*standin.ReceivedCall) standin.Reply { return standin.Reply{Status: 200} }}
-	t.Cleanup(env.instance.Close)
+	t.Cleanup(env.simulation.Close)
 	var err error
-	env.gateways, err = standin.NewGateways(env.instance)
+	env.gateways, err = standin.NewGateways(env.simulation)
 	env.must(err)
 	env.gateways.Script = env.receiveCall
 	env.platform = env.newPlatform("platform")
-	env.listen = env.instance.UnusedAddress()
+	env.listen = env.simulation.UnusedAddress()
 	env.config = config.Config{Name: "n0", Listen: env.listen, Seed: 0x8c1f30d27a5be964, Machine: parsed.Machine,
 		Settings: parsed.Settings, Names: parsed.Names}
 	t.Cleanup(env.killSender)
@@ -146,7 +146,7 @@
 // newPlatform opens a simulated platform that records the outcome reports it receives under its name. Only the one
 // named "platform" can be made to refuse reports.
 func (env *environment) newPlatform(name string) *standin.Platform {
-	platform, err := standin.NewPlatform(env.instance, env.gateways, 1)
+	platform, err := standin.NewPlatform(env.simulation, env.gateways, 1)
 	env.must(err)
 	platform.Override = func(_ int, writer http.ResponseWriter, request *http.Request, body []byte) bool {
 		env.mu.Lock()
@@ -207,7 +207,7 @@
 	env.trace = trace
 }
 
-// locked runs a change of the environment under its lock.
+// locked calls change with the lock held.
 func (env *environment) locked(change func()) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -282,8 +282,9 @@
 
 // submission returns the text of an HTTP request that submits a notice.
 func submission(grade, id string, timeoutMS, destination int, body string, headers ...string) string {
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nTenant: acme\r\n"+
-		"Request-Timeout-Ms: %d\r\nX-Consignee: dest=%d\r\nContent-Length: %d\r\n%s\r\n%s",
+	return fmt.Sprintf(
+		"POST /%s HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nTenant: acme\r\n"+
+			"Request-Timeout-Ms: %d\r\nX-Consignee: dest=%d\r\nContent-Length: %d\r\n%s\r\n%s",
 		grade, id, grade, timeoutMS, destination, len(body), strings.Join(headers, ""), body)
 }
 
@@ -310,7 +311,7 @@
 	return summary
 }
 
-// awaitLines waits until a number of lines of the trace begin with a text.
+// awaitLines waits until at least a number of lines of the trace begin with a prefix.
 func (env *environment) awaitLines(count int, prefix string) {
 	env.t.Helper()
 	seen := 0
@@ -360,7 +361,7 @@
 	}
 }
 
-// recordCounters appends the counters of submitted notices and of calls to the trace.
+// recordCounters appends the first ten counters, those of submitted notices and of calls, to the trace.
 func (env *environment) recordCounters() {
 	env.t.Helper()
 	time.Sleep(50 * time.Millisecond)
