--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// decodeRecord decodes one record, without the fields that package rules doesn't use. Content stays nil for records that
-// no event of package rules corresponds to; their fields are read only to detect truncated records.
+// decodeRecord decodes one record, without the fields that package rules doesn't use. Content stays nil for records
+// that no event of package rules corresponds to; their fields are read only to detect truncated records.
 func (r *Reader) decodeRecord(code uint16, in *fields) (Record, error) {
 	switch code {
 	case codeSnapshotRows:
