--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -24,7 +24,7 @@
 
 // Chart is a set of lines with common axes.
 type Chart struct {
-	Title, X, Y string
+	Title, X, Y string // X and Y are the labels of the axes
 	LogX, LogY  bool
 	YMin, YMax  float64 // range of the y axis if YMax exceeds YMin; else the range follows from the values
 	Bands       []Band
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,14 +14,15 @@
 
 // RecoveryProfile describes the capacity of a destination after an outage. The senders' settings contain the same
 // values. The capacity starts at ColdShare of the full one and grows to all of it within WarmUp. The destination is
-// overloaded by more than OverloadMultiple times its present capacity during OverloadWindow.
+// overloaded when more calls arrive within OverloadWindow than OverloadMultiple times its current capacity.
 type RecoveryProfile struct {
 	ColdShare              float64
 	WarmUp, OverloadWindow rules.Millis
 	OverloadMultiple       float64
 }
 
-// Response is the outcome of a call.
+// Response is how a destination processes a call on which no fault has an effect, except by a reduced limit or a longer
+// service time.
 type Response struct {
 	Refused        bool
 	RetryAfter     rules.Millis // of a refused call: the requested wait; 0: none requested
@@ -30,7 +31,7 @@
 	CausedOverload bool         // this call overloaded the destination
 }
 
-// Gateway is the simulation of one destination. All of its times are on one clock, which never goes back.
+// Gateway simulates one destination. All of its times are on one clock, which never goes back.
 type Gateway struct {
 	profile         scenario.DestinationProfile
 	recovery        RecoveryProfile
@@ -104,7 +105,8 @@
 	return capacity
 }
 
-// capacityShare returns the share of the full capacity that the destination has at a time.
+// capacityShare returns the share of the full capacity that the destination has at a time. It ends the cold state once
+// the warm-up is over.
 func (g *Gateway) capacityShare(now rules.Millis) float64 {
 	if !g.cold {
 		return 1
@@ -203,7 +205,7 @@
 	return true
 }
 
-// refillTokens adds the tokens of the time since the last call.
+// refillTokens adds the tokens for the time since the last refill.
 func (g *Gateway) refillTokens(now rules.Millis, limitShare float64) {
 	g.tokens = min(g.tokens+float64(now-g.filledAt)/1000*g.profile.Limit*limitShare, g.bucketDepth(limitShare))
 	g.filledAt = now
--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -13,7 +13,7 @@
 // sockets as well as in simulated time. It is not safe for concurrent use.
 type Site struct {
 	*scenario.Destination
-	Core *Gateway
+	Core *Gateway // decides the calls that no fault fails
 	// OutageActive reports whether an outage is active. SawOutage holds the senders that may have noticed an outage:
 	// those with a failed or refused call, or all of them if the destination can't see who tries.
 	OutageActive bool
@@ -24,10 +24,10 @@
 }
 
 // NewSite creates the site of one destination of a scenario's instance.
-func NewSite(w *scenario.Instance, d *scenario.Destination) *Site {
-	s := w.Settings
-	site := &Site{Destination: d, SawOutage: map[int]bool{}, instance: w,
-		rng: scenario.NewRand(w.Seed, scenario.StreamGateways+uint64(d.Number))}
+func NewSite(instance *scenario.Instance, d *scenario.Destination) *Site {
+	s := instance.Settings
+	site := &Site{Destination: d, SawOutage: map[int]bool{}, instance: instance,
+		rng: scenario.NewRand(instance.Seed, scenario.StreamGateways+uint64(d.Number))}
 	site.Core = New(d.Group.Profile, RecoveryProfile{ColdShare: s.ColdCapacity, WarmUp: s.WarmUpTime,
 		OverloadWindow: s.OverloadTime, OverloadMultiple: s.OverloadFactor}, site.rng)
 	return site
@@ -92,8 +92,8 @@
 	return scenario.Fault{}, false
 }
 
-// DrawFault decides at random whether a fault of a kind affects a call of a grade; -1 stands for an unknown grade,
-// which only faults of all grades affect.
+// DrawFault decides at random whether a fault of a kind affects a call of a grade. A grade below 0 is unknown: only
+// faults that affect all grades affect such a call.
 func (s *Site) DrawFault(kind string, grade int, now rules.Millis) (scenario.Fault, bool) {
 	f, active := s.Active(kind, now)
 	if !active {
@@ -106,7 +106,7 @@
 	return f, f.Share >= 1 || s.rng.Float64() < f.Share
 }
 
-// CallOutcome is the outcome of a call.
+// CallOutcome is what happens to a call, with the faults of the destination taken into account.
 type CallOutcome struct {
 	Status         int
 	HeaderLines    []string     // header lines of the response
@@ -136,24 +136,24 @@
 		if s.OutageActive {
 			s.SawOutage[sender] = true
 		}
-		fate := CallOutcome{At: now, Fault: kind}
+		outcome := CallOutcome{At: now, Fault: kind}
 		switch kind {
 		case scenario.Shut:
-			fate.Status = 503
+			outcome.Status = 503
 		case scenario.Hang:
-			fate.NoResponse, fate.TookEffect = true, true
+			outcome.NoResponse, outcome.TookEffect = true, true
 		case scenario.ResetAfter:
-			fate.Reset, fate.TookEffect = true, s.rng.Float64() < 0.5
+			outcome.Reset, outcome.TookEffect = true, s.rng.Float64() < 0.5
 		case scenario.Errors:
-			fate.Status, fate.TookEffect = 500, s.rng.Float64() < 0.5
+			outcome.Status, outcome.TookEffect = 500, s.rng.Float64() < 0.5
 		case scenario.Malformed:
-			fate.Raw, fate.Status = malformedResponse(s.rng)
-			fate.TookEffect, fate.Malformed = true, true
+			outcome.Raw, outcome.Status = malformedResponse(s.rng)
+			outcome.TookEffect, outcome.Malformed = true, true
 		}
-		return fate
+		return outcome
 	}
 	limitShare, slowdown := 1.0, 1.0
-	if f, on := s.Active(scenario.LowLimit, now); on {
+	if f, active := s.Active(scenario.LowLimit, now); active {
 		limitShare = f.Size
 	}
 	if f, affected := s.DrawFault(scenario.Slow, grade, now); affected {
@@ -161,33 +161,33 @@
 	}
 	_, dribbles := s.DrawFault(scenario.Dribble, grade, now)
 	response := s.Core.Arrive(max(now, 0), sender, limitShare, slowdown)
-	fate := CallOutcome{At: response.DueAt, Dribbled: dribbles, CausedOverload: response.CausedOverload}
+	outcome := CallOutcome{At: response.DueAt, Dribbled: dribbles, CausedOverload: response.CausedOverload}
 	if dribbles {
-		fate.Fault = scenario.Dribble
+		outcome.Fault = scenario.Dribble
 	}
 	switch {
 	case response.Overloaded:
-		fate.Reset, fate.LostUnread, fate.At, fate.Fault = true, true, now, "overloaded"
+		outcome.Reset, outcome.LostUnread, outcome.At, outcome.Fault = true, true, now, "overloaded"
 	case response.Refused:
-		fate.Status, fate.Wait, fate.At = 503, response.RetryAfter, now
+		outcome.Status, outcome.Wait, outcome.At = 503, response.RetryAfter, now
 		if response.RetryAfter > 0 {
-			fate.Status = 429
-			fate.HeaderLines = append(fate.HeaderLines,
+			outcome.Status = 429
+			outcome.HeaderLines = append(outcome.HeaderLines,
 				"Retry-After: "+strconv.FormatFloat(float64(response.RetryAfter)/1000, 'f', 3, 64))
 		}
 	default:
-		fate.Status, fate.TookEffect = 200, true
+		outcome.Status, outcome.TookEffect = 200, true
 	}
 	reportFields := s.instance.Names.Report
-	if fate.LimitRemaining, fate.Limit, fate.LimitReported = s.Core.Report(max(now, 0),
-		limitShare); fate.LimitReported &&
+	if outcome.LimitRemaining, outcome.Limit, outcome.LimitReported = s.Core.Report(max(now, 0),
+		limitShare); outcome.LimitReported &&
 		len(reportFields) == 2 {
-		fate.HeaderLines = append(fate.HeaderLines, fmt.Sprintf("Server-Load: %s=%.3f,%s=%.3f",
-			reportFields[0], fate.LimitRemaining, reportFields[1], fate.Limit))
+		outcome.HeaderLines = append(outcome.HeaderLines, fmt.Sprintf("Server-Load: %s=%.3f,%s=%.3f",
+			reportFields[0], outcome.LimitRemaining, reportFields[1], outcome.Limit))
 	} else {
-		fate.LimitReported = false
+		outcome.LimitReported = false
 	}
-	return fate
+	return outcome
 }
 
 // SendersThatSawOutage returns a copy of the set of senders that may have noticed an outage.
--- a/internal/results/results.go
+++ b/internal/results/results.go
@@ -23,7 +23,7 @@
 	return Times{h.TotalCount(), at(50), at(99), at(99.9), float64(h.Max()) / 1000}
 }
 
-// Share is the result of a subset of the notices.
+// Share is the result of a subset of the notices, such as those of one grade.
 type Share struct {
 	Name      string  `json:"name"`
 	Asked     int     `json:"asked"` // distinct notices, however often each was submitted
@@ -39,20 +39,20 @@
 	Deliveries                *hdrhistogram.Histogram // delivery times, in microseconds
 }
 
-// NewTally creates an empty tally.
+// NewTally creates an empty tally. It records delivery times from 1 µs to an hour with three significant digits.
 func NewTally(name string) *Tally {
 	return &Tally{share: Share{Name: name}, Deliveries: hdrhistogram.New(1, 3_600_000_000, 3)}
 }
 
 // Add counts a notice: the credit that it was worth, the credit that it earned, and the delivery time if it was
 // delivered.
-func (t *Tally) Add(asked, earned float64, delivered bool, after rules.Millis) {
+func (t *Tally) Add(asked, earned float64, delivered bool, deliveryTime rules.Millis) {
 	t.share.Asked++
 	t.creditAsked += asked
 	t.creditEarned += earned
 	if delivered {
 		t.share.Delivered++
-		t.Deliveries.RecordValue(max(int64(after*1000), 1))
+		t.Deliveries.RecordValue(max(int64(deliveryTime*1000), 1))
 	}
 }
 
