--- a/internal/lab/rows.go
+++ b/internal/lab/rows.go
@@ -52,7 +52,7 @@
 	{"refused", func(r *model.Result) float64 { return ratio(r.Refused, r.All.Asked) }, true},
 	{"dismissed", func(r *model.Result) float64 { return ratio(r.Dismissed, r.All.Asked) }, true},
 	{"broken off", func(r *model.Result) float64 { return ratio(r.BrokenOff, r.All.Asked) }, true},
-	{"second effects", func(r *model.Result) float64 { return float64(r.Second) }, true},
+	{"second effects", func(r *model.Result) float64 { return float64(r.SecondEffects) }, true},
 	{"pushed over", func(r *model.Result) float64 { return float64(r.Overloads) }, true},
 	{"breaches", func(r *model.Result) float64 { return float64(len(r.Breaches)) }, true},
 }
--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -33,7 +33,7 @@
 	return []string{"ours", OneTry, Immediate, Backoff, Budget, Bucket, Gradient, Breaker, Least, Oracle}
 }
 
-// PolicyOf returns the policy with this name, for a scenario.
+// PolicyOf returns the policy with this name, for a scenario. The empty name means the daemon's policy.
 func PolicyOf(name string, s *scenario.Scenario) (Policy, error) {
 	switch {
 	case name == "" || name == "ours":
@@ -41,9 +41,9 @@
 	case !slices.Contains(Policies(), name):
 		return nil, fmt.Errorf("no policy %q; want one of %s", name, strings.Join(Policies(), ", "))
 	}
-	w := scenario.NewInstance(s)
+	instance := scenario.NewInstance(s)
 	return func(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider {
-		return &baseline{policy: name, settings: settings, startedAt: startedAt, world: w,
+		return &baseline{policy: name, settings: settings, startedAt: startedAt, instance: instance,
 			rng:     rand.New(rand.NewPCG(seed, 1)),
 			notices: map[rules.NoticeID]*baselineNotice{}, dests: map[rules.DestinationID]*baselineDestination{},
 			receivers: map[rules.ReceiverID]*baselineReceiver{}}
@@ -91,7 +91,7 @@
 	policy      string
 	settings    rules.Settings
 	startedAt   rules.Millis
-	world       *scenario.Instance
+	instance    *scenario.Instance
 	rng         *rand.Rand
 	now         rules.Millis
 	notices     map[rules.NoticeID]*baselineNotice
@@ -99,9 +99,9 @@
 	dests       map[rules.DestinationID]*baselineDestination
 	receivers   map[rules.ReceiverID]*baselineReceiver
 	usedSlots   int
-	retryTokens float64 // of the retry budget
+	retryTokens float64 // of Budget: each notice adds a tenth, each retry takes one
 	actions     []rules.Action
-	timerAt     rules.Millis
+	timerAt     rules.Millis // time of the last timer set
 }
 
 // emit adds an action to those that Decide returns.
@@ -207,7 +207,7 @@
 	heap.Push(&p.waiting, n)
 }
 
-// learn updates the state of a destination from the result of a trip.
+// learn updates what Gradient and Breaker know of a destination from the result of a trip.
 func (p *baseline) learn(d *baselineDestination, e rules.TripEnded) {
 	failed := e.Result != rules.Handled && e.Result != rules.Full && e.Result != rules.LocalShortage
 	switch p.policy {
@@ -216,7 +216,7 @@
 		if e.Result == rules.Handled && (d.minLatency == 0 || spent < d.minLatency) {
 			d.minLatency = spent
 		}
-		d.minLatency *= 1.001
+		d.minLatency *= 1.001 // lets the minimum rise if the destination has become slower for good
 		if d.minLatency > 0 {
 			gradient := min(max(2*d.minLatency/spent, 0.5), 1)
 			d.inFlightLimit = min(max(d.inFlightLimit*gradient+math.Sqrt(d.inFlightLimit)/4, 1),
@@ -288,7 +288,7 @@
 // and otherwise when to check again.
 func (p *baseline) oracleAllows(d *baselineDestination) (bool, rules.Millis) {
 	at := p.startedAt + p.now
-	destination := p.world.Destinations[d.number-1]
+	destination := p.instance.Destinations[d.number-1]
 	for _, f := range destination.Faults {
 		failsCalls := gateway.Outage(f) || f.Kind == scenario.Malformed || f.Kind == scenario.Errors ||
 			f.Kind == scenario.ResetAfter ||
@@ -308,7 +308,8 @@
 	return true, 0
 }
 
-// sendWaiting sends the waiting notices that are due while there are free slots.
+// sendWaiting sends the waiting notices that are due while there are free slots, and ends those whose deadline
+// is near.
 func (p *baseline) sendWaiting() {
 	for len(p.waiting) > 0 && p.waiting[0].readyAt <= p.now && p.usedSlots < p.settings.Slots {
 		n := heap.Pop(&p.waiting).(*baselineNotice)
@@ -317,31 +318,32 @@
 			continue
 		}
 		d := p.dests[n.Destination]
-		var to *baselineReceiver
+		var receiver *baselineReceiver
 		if d != nil {
-			to = p.chooseReceiver(d)
+			receiver = p.chooseReceiver(d)
 		}
-		if to == nil {
+		if receiver == nil {
 			n.readyAt = p.now + 50
 			heap.Push(&p.waiting, n)
 			continue
 		}
-		ok, again := p.allows(d)
+		ok, retryAt := p.allows(d)
 		if !ok {
-			n.readyAt = min(max(again, p.now+1), n.deadline-3*p.settings.Tick)
+			n.readyAt = min(max(retryAt, p.now+1), n.deadline-3*p.settings.Tick)
 			heap.Push(&p.waiting, n)
 			continue
 		}
-		n.sentTo, n.trips = to, n.trips+1
+		n.sentTo, n.trips = receiver, n.trips+1
 		p.usedSlots++
-		to.inFlight++
+		receiver.inFlight++
 		d.inFlight++
-		p.emit(rules.Send{Notice: n.Notice, Receiver: to.id,
+		p.emit(rules.Send{Notice: n.Notice, Receiver: receiver.id,
 			TimeOut: min(p.settings.Grades[n.Grade].QuotedTime, n.deadline-p.now)})
 	}
 }
 
-// chooseReceiver selects a destination's receivers in turn or, for Least, the one with the fewest calls in flight.
+// chooseReceiver returns the destination's next ready receiver in turn or, for Least, the one with the fewest calls in
+// flight. It returns nil if no receiver is ready.
 func (p *baseline) chooseReceiver(d *baselineDestination) *baselineReceiver {
 	var best *baselineReceiver
 	d.nextReceiver++
@@ -356,7 +358,7 @@
 	return best
 }
 
-// nextTimer returns when waiting notices must be looked at again.
+// nextTimer returns the time at which the waiting notices must be checked again.
 func (p *baseline) nextTimer() rules.Millis {
 	if len(p.waiting) == 0 {
 		return never
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -7,13 +7,14 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// eventKind is the kind of an event.
+// eventKind tells the receiving node how to handle an event and which of its fields are set; see the constants that
+// begin with ev.
 type eventKind uint8
 
 // event is a message from another node, or an event that a node scheduled for itself.
 type event struct {
 	at         rules.Millis
-	seq        uint64 // of the sending node
+	seq        uint64 // number of the event among those of the sending node
 	from, to   int32
 	kind       eventKind
 	value      int64
@@ -23,8 +24,8 @@
 	payload    any
 }
 
-// before orders events by time, then by receiving and sending node and its sequence number. The order does not
-// depend on how the nodes are distributed over workers.
+// before orders events by time, then by receiving node, sending node and the sending node's sequence number. The order
+// does not depend on how the nodes are distributed over workers.
 func (e *event) before(o *event) bool {
 	switch {
 	case e.at != o.at:
@@ -40,7 +41,7 @@
 // node is a participant of the simulation. Nodes interact only through events.
 type node interface{ handle(e *event) }
 
-// port is a node's access to the engine and the network.
+// port is a node's access to the engine and the network. Node types embed it.
 type port struct {
 	id      int32
 	seq     uint64
@@ -65,24 +66,24 @@
 // now returns the time of the event that is being handled.
 func (p *port) now() rules.Millis { return p.worker.now }
 
-// post sends an event to a node. To another node it takes at least the engine's minimum delay.
+// post sends an event to a node. An event for another node takes at least the engine's minimum delay.
 func (p *port) post(to int32, after rules.Millis, e event) {
 	if to != p.id && after < p.engine.minDelay {
 		after = p.engine.minDelay
 	}
 	p.seq++
 	e.at, e.seq, e.from, e.to = p.worker.now+after, p.seq, p.id, to
-	if there := p.engine.workerOf[to]; there == p.worker {
-		there.push(e)
+	if receiving := p.engine.workerOf[to]; receiving == p.worker {
+		receiving.push(e)
 	} else {
-		p.worker.outbox[there.index] = append(p.worker.outbox[there.index], e)
+		p.worker.outbox[receiving.index] = append(p.worker.outbox[receiving.index], e)
 	}
 }
 
-// schedule schedules an event at this node.
+// schedule sends an event to this node itself.
 func (p *port) schedule(after rules.Millis, e event) { p.post(p.id, after, e) }
 
-// worker handles the events of some of the nodes in the order of time.
+// worker handles the events of its share of the nodes, ordered as by event.before.
 type worker struct {
 	index  int
 	engine *engine
@@ -92,18 +93,18 @@
 	events int64
 }
 
-// push adds an event to the heap. Each element of the heap has four children: events are large, and most are added
-// near its end.
+// push adds an event to the heap. Each element of the heap has four children, so that the heap is flat and few events
+// are moved: events are large, and most are added near the end.
 func (w *worker) push(e event) {
 	h := append(w.heap, e)
 	i := len(h) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !e.before(&h[up]) {
+		parent := (i - 1) / 4
+		if !e.before(&h[parent]) {
 			break
 		}
-		h[i] = h[up]
-		i = up
+		h[i] = h[parent]
+		i = parent
 	}
 	h[i] = e
 	w.heap = h
@@ -125,23 +126,23 @@
 		if first >= len(h) {
 			break
 		}
-		least := first
+		smallest := first
 		for c := first + 1; c < min(first+4, len(h)); c++ {
-			if h[c].before(&h[least]) {
-				least = c
+			if h[c].before(&h[smallest]) {
+				smallest = c
 			}
 		}
-		if !h[least].before(&last) {
+		if !h[smallest].before(&last) {
 			break
 		}
-		h[i] = h[least]
-		i = least
+		h[i] = h[smallest]
+		i = smallest
 	}
 	h[i] = last
 	return top
 }
 
-// run handles all events before a time.
+// run handles all events whose time is before until.
 func (w *worker) run(until rules.Millis) {
 	for len(w.heap) > 0 && w.heap[0].at < until {
 		e := w.pop()
@@ -151,9 +152,9 @@
 	}
 }
 
-// engine runs the nodes. A message between two nodes takes at least minDelay, so within a window of that length
-// workers need nothing from each other. The order of a node's events does not depend on the number of workers, and
-// so neither do the results.
+// engine runs the nodes. A message between two nodes takes at least minDelay, so within a window of that length no
+// worker depends on another. The order of a node's events does not depend on the number of workers, and so neither do
+// the results.
 type engine struct {
 	minDelay rules.Millis
 	nodes    []node
@@ -164,10 +165,10 @@
 // parallelThreshold is the number of events in the last window from which on the next one runs on all workers.
 const parallelThreshold = 24
 
-// newEngine creates an engine with this number of nodes and workers; workerOf returns the index of the worker that
+// newEngine creates an engine with this number of nodes and workers; workerIndex returns the index of the worker that
 // runs a node.
-func newEngine(least rules.Millis, nodes, workers int, workerIndex func(id int) int) *engine {
-	e := &engine{minDelay: least, nodes: make([]node, nodes), workerOf: make([]*worker, nodes)}
+func newEngine(minDelay rules.Millis, nodes, workers int, workerIndex func(id int) int) *engine {
+	e := &engine{minDelay: minDelay, nodes: make([]node, nodes), workerOf: make([]*worker, nodes)}
 	for i := range workers {
 		e.workers = append(e.workers, &worker{index: i, engine: e, outbox: make([][]event, workers)})
 	}
@@ -177,7 +178,8 @@
 	return e
 }
 
-// run runs until a time, or until stop returns true; it reports whether it got to that time.
+// run handles all events before until, unless stop returns true first; it reports whether it got that far. It calls
+// stop only now and then.
 func (e *engine) run(until rules.Millis, stop func(now rules.Millis) bool) bool {
 	next := func() rules.Millis {
 		at := until
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -35,25 +35,27 @@
 	Decide(now rules.Millis, events []rules.Event) []rules.Action
 }
 
-// Policy creates the Decider of one start of a sender. startedAt is the time of the run at which the Decider's time
-// 0 is.
+// Policy creates the Decider for one start of a sender. startedAt is the time of the start within the run; the Decider
+// counts its own time from there.
 type Policy func(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider
 
-// Daemon is the policy of the daemon.
+// Daemon is the daemon's own policy: it creates a rules.Sender.
 func Daemon(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
 	return rules.New(seed, settings)
 }
 
-// Options says how to run a scenario.
+// Options control how a scenario is run.
 type Options struct {
-	Network   Network
-	Policy    Policy // nil: Daemon
-	Workers   int    // below 1: the number of processors; results don't depend on it
-	Record    bool   // keep everything that the audit needs, and audit it
+	Network Network // without a Delay: Loopback
+	Policy  Policy  // nil: Daemon
+	Workers int     // below 1: the number of processors; results don't depend on it
+	Record  bool    // keep everything that the audit needs, and audit it
+	// IsFailing reports whether the result counts a destination under Sick rather than Well; nil: those with faults.
 	IsFailing func(destination int) bool
 }
 
-// Bin is the credit of the effects that were due within one part of the run.
+// Bin is the credit of the effects that became due within one part of the run: the most possible (Asked) and what was
+// earned.
 type Bin struct {
 	Asked  float64 `json:"asked"`
 	Earned float64 `json:"earned"`
@@ -71,25 +73,26 @@
 	Why         string       `json:"why"`
 }
 
-// Result is the result of a run. All figures are the model's.
+// Result is the result of a run. An effect is what a client wants to happen; it may submit one several times, and each
+// submission that is accepted is a notice.
 type Result struct {
 	Scenario       string          `json:"scenario"`
 	Seed           uint64          `json:"seed"`
 	All            results.Share   `json:"all"`
 	Grades         []results.Share `json:"grades"`
-	Well, Sick     results.Share
-	Handed         int             `json:"handed"`
-	Taken          int             `json:"taken"`
+	Well, Sick     results.Share   // of the destinations that work, and of those that fail (Options.IsFailing)
+	Submitted      int             `json:"handed"` // submissions
+	Accepted       int             `json:"taken"`  // submissions that were accepted
 	Refused        int             `json:"refused"`
 	Unanswered     int             `json:"unanswered"`
 	Dismissed      int             `json:"dismissed"`
 	BrokenOff      int             `json:"broken_off"`
 	Calls          int             `json:"calls"`
 	CallsFull      int             `json:"calls_full"`
-	Further        int             `json:"further"`
-	Second         int             `json:"second_effects"`
-	Short          int             `json:"short"`
-	Overloads      int             `json:"falls"` // recovering destinations that were overloaded again
+	Further        int             `json:"further"`        // calls beyond the first for a submission
+	SecondEffects  int             `json:"second_effects"` // repeated effects of at-most-once notices
+	LocalShortages int             `json:"short"`          // calls not begun for lack of descriptors
+	Overloads      int             `json:"falls"`          // recovering destinations that were overloaded again
 	Bins           []Bin           `json:"bins,omitempty"`
 	Events         int64           `json:"events"`
 	Wall           time.Duration   `json:"-"`
@@ -99,59 +102,60 @@
 	View           audit.View      `json:"-"`
 }
 
-// Node numbers: the clients and the platform share the first, then come the senders, then the sites.
+// Node numbers: the clients and the platform share one node, the senders follow, then the sites of the destinations.
 const (
-	outsideNode     = 0
+	clientNode      = 0
 	firstSenderNode = 1
 )
 
-// world is a scenario instance, with data that all nodes may read.
-type world struct {
+// runData is a scenario instance with the data of the run that all nodes may read.
+type runData struct {
 	*scenario.Instance
-	options       Options
-	record        bool
-	turnInterval  rules.Millis
-	receiverNames []string // by receiver number
-	receiverIDs   map[string]rules.ReceiverID
-	destinationOf []int32 // by receiver number
-	apart         []bool  // by destination: each receiver is a separate route
-	kinds         []rules.KindID
-	firstList     rules.ListUpdated
+	options        Options
+	record         bool
+	turnInterval   rules.Millis
+	receiverNames  []string // by receiver number
+	receiverIDs    map[string]rules.ReceiverID
+	destinationOf  []int32 // by receiver number
+	separateRoutes []bool  // by destination: each receiver is a separate route
+	kindOf         []rules.KindID
+	initialList    rules.ListUpdated
 }
 
-// receiver returns the number of a receiver.
-func (w *world) receiver(name string) rules.ReceiverID { return w.receiverIDs[name] }
+// receiverID returns the number of the receiver with this name.
+func (r *runData) receiverID(name string) rules.ReceiverID { return r.receiverIDs[name] }
 
 // addReceiver gives a receiver a number, if it has none.
-func (w *world) addReceiver(name string, destination int) {
-	if _, known := w.receiverIDs[name]; known {
+func (r *runData) addReceiver(name string, destination int) {
+	if _, known := r.receiverIDs[name]; known {
 		return
 	}
-	w.receiverIDs[name] = rules.ReceiverID(len(w.receiverNames))
-	w.receiverNames = append(w.receiverNames, name)
-	w.destinationOf = append(w.destinationOf, int32(destination))
+	r.receiverIDs[name] = rules.ReceiverID(len(r.receiverNames))
+	r.receiverNames = append(r.receiverNames, name)
+	r.destinationOf = append(r.destinationOf, int32(destination))
 }
 
 // siteNode returns the node number of a destination's site.
-func (w *world) siteNode(destination int) int32 {
-	return int32(firstSenderNode + w.Senders + destination - 1)
+func (r *runData) siteNode(destination int) int32 {
+	return int32(firstSenderNode + r.Senders + destination - 1)
 }
 
-// isFailing reports whether results count a destination as failing.
-func (w *world) isFailing(destination int) bool {
-	if w.options.IsFailing != nil {
-		return w.options.IsFailing(destination)
+// isFailing reports whether the result counts a destination as failing.
+func (r *runData) isFailing(destination int) bool {
+	if r.options.IsFailing != nil {
+		return r.options.IsFailing(destination)
 	}
-	return len(w.Destinations[destination-1].Faults) > 0
+	return len(r.Destinations[destination-1].Faults) > 0
 }
 
-// listEntry returns the entry of a receiver in the receiver list.
-func (w *world) listEntry(name, standing string) rules.Entry {
-	id := w.receiverIDs[name]
-	destination := int(w.destinationOf[id])
-	entry := rules.Entry{Receiver: id, Destination: rules.DestinationID(destination), Kind: w.kinds[destination],
-		ListedRate: w.Destinations[destination-1].Group.Profile.Limit}
-	switch standing {
+// listEntry returns the entry of a receiver in the receiver list. A status other than "ready" and "draining" means
+// that the receiver is gone.
+func (r *runData) listEntry(name, status string) rules.Entry {
+	id := r.receiverIDs[name]
+	destination := int(r.destinationOf[id])
+	entry := rules.Entry{Receiver: id, Destination: rules.DestinationID(destination), Kind: r.kindOf[destination],
+		ListedRate: r.Destinations[destination-1].Group.Profile.Limit}
+	switch status {
 	case "ready":
 		entry.Status = rules.Ready
 	case "draining":
@@ -161,9 +165,9 @@
 }
 
 // newDecider creates a sender's Decider by the policy of the run.
-func (w *world) newDecider(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider {
-	if w.options.Policy != nil {
-		return w.options.Policy(seed, settings, startedAt)
+func (r *runData) newDecider(seed uint64, settings rules.Settings, startedAt rules.Millis) Decider {
+	if r.options.Policy != nil {
+		return r.options.Policy(seed, settings, startedAt)
 	}
 	return Daemon(seed, settings, startedAt)
 }
@@ -180,7 +184,7 @@
 
 // Run runs a scenario. If the context ends first, the run is cancelled: the result covers the time until then and
 // is marked Broken.
-func Run(ctx context.Context, played *scenario.Scenario, options Options) *Result {
+func Run(ctx context.Context, definition *scenario.Scenario, options Options) *Result {
 	startedAt := time.Now()
 	if options.Network.Delay <= 0 {
 		options.Network = Loopback
@@ -189,47 +193,48 @@
 	if workers < 1 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	run := &world{Instance: scenario.NewInstance(played), options: options, record: options.Record,
-		turnInterval: played.Settings.Tick / 10, receiverIDs: map[string]rules.ReceiverID{}}
-	run.apart, run.kinds = make([]bool, len(run.Destinations)+1), make([]rules.KindID, len(run.Destinations)+1)
+	run := &runData{Instance: scenario.NewInstance(definition), options: options, record: options.Record,
+		turnInterval: definition.Settings.Tick / 10, receiverIDs: map[string]rules.ReceiverID{}}
+	run.separateRoutes, run.kindOf = make([]bool, len(run.Destinations)+1),
+		make([]rules.KindID, len(run.Destinations)+1)
 	// Receiver number 0 is reserved for "no receiver".
 	run.receiverNames, run.destinationOf = []string{""}, []int32{0}
 	for _, d := range run.Destinations {
 		if k := slices.Index(run.Names.Kinds, d.Group.Kind); k >= 0 {
-			run.kinds[d.Number], run.apart[d.Number] = rules.KindID(k), run.Settings.Kinds[k].SeparateRoutes
+			run.kindOf[d.Number], run.separateRoutes[d.Number] = rules.KindID(k), run.Settings.Kinds[k].SeparateRoutes
 		} else {
-			run.kinds[d.Number] = rules.KindID(len(run.Names.Kinds))
+			run.kindOf[d.Number] = rules.KindID(len(run.Names.Kinds))
 		}
 		for _, name := range d.Receivers {
 			run.addReceiver(name, d.Number)
 		}
 	}
-	run.firstList.Complete = true
+	run.initialList.Complete = true
 	for _, d := range run.Destinations {
 		for _, name := range d.Receivers {
-			run.firstList.Entries = append(run.firstList.Entries, run.listEntry(name, "ready"))
+			run.initialList.Entries = append(run.initialList.Entries, run.listEntry(name, "ready"))
 		}
 	}
 	nodes := firstSenderNode + run.Senders + len(run.Destinations)
 	workers = max(min(workers, nodes/8), 1)
 	eng := newEngine(options.Network.Delay, nodes, workers, func(id int) int { return id % workers })
-	port := func(id int) port {
+	newPort := func(id int) port {
 		return port{id: int32(id), worker: eng.workerOf[id], engine: eng, network: options.Network,
-			rng: rand.New(rand.NewPCG(played.Seed, 1<<43+uint64(id)))}
+			rng: rand.New(rand.NewPCG(definition.Seed, 1<<43+uint64(id)))}
 	}
-	clients := newClient(run, port(outsideNode))
-	eng.nodes[outsideNode] = clients
+	clients := newClient(run, newPort(clientNode))
+	eng.nodes[clientNode] = clients
 	var senders []*sender
 	for i := range run.Senders {
-		one := newSender(run, port(firstSenderNode+i), i)
-		senders = append(senders, one)
-		eng.nodes[firstSenderNode+i] = one
+		s := newSender(run, newPort(firstSenderNode+i), i)
+		senders = append(senders, s)
+		eng.nodes[firstSenderNode+i] = s
 	}
 	var sites []*site
 	for _, d := range run.Destinations {
-		one := newSite(run, port(int(run.siteNode(d.Number))), d)
-		sites = append(sites, one)
-		eng.nodes[one.id] = one
+		s := newSite(run, newPort(int(run.siteNode(d.Number))), d)
+		sites = append(sites, s)
+		eng.nodes[s.id] = s
 	}
 	// Events posted while the nodes were created are still in the workers' outboxes.
 	for _, from := range eng.workers {
@@ -241,31 +246,31 @@
 		}
 	}
 	until := run.Length + run.Settle
-	whole := eng.run(until, func(rules.Millis) bool { return ctx.Err() != nil })
+	completed := eng.run(until, func(rules.Millis) bool { return ctx.Err() != nil })
 	clients.worker.now = max(clients.worker.now, until)
 	clients.settleEffects(true)
-	result := &Result{Scenario: played.Name, Seed: played.Seed, All: clients.all.Share(),
-		Well: clients.healthy.Share(), Sick: clients.failing.Share(), Handed: clients.counts.submitted,
-		Taken: clients.counts.accepted, Refused: clients.counts.refused, Unanswered: clients.counts.unanswered,
+	result := &Result{Scenario: definition.Name, Seed: definition.Seed, All: clients.all.Share(),
+		Well: clients.healthy.Share(), Sick: clients.failing.Share(), Submitted: clients.counts.submitted,
+		Accepted: clients.counts.accepted, Refused: clients.counts.refused, Unanswered: clients.counts.unanswered,
 		Dismissed: clients.counts.dismissed,
-		BrokenOff: clients.counts.brokenOff, Bins: clients.bins, Events: eng.events(), Broken: !whole}
+		BrokenOff: clients.counts.brokenOff, Bins: clients.bins, Events: eng.events(), Broken: !completed}
 	for _, g := range clients.grades {
 		result.Grades = append(result.Grades, g.Share())
 	}
-	for _, one := range sites {
-		result.Calls += one.counts.calls
-		result.CallsFull += one.counts.fullResponses
-		result.Further += one.counts.furtherCalls
-		result.Second += one.counts.secondEffects
-		result.Overloads += len(one.overloads)
+	for _, s := range sites {
+		result.Calls += s.counts.calls
+		result.CallsFull += s.counts.fullResponses
+		result.Further += s.counts.furtherCalls
+		result.SecondEffects += s.counts.secondEffects
+		result.Overloads += len(s.overloads)
 	}
-	for _, one := range senders {
-		result.Short += one.counts.localShortages
-		result.BreakerChanges = append(result.BreakerChanges, one.breakerChanges...)
+	for _, s := range senders {
+		result.LocalShortages += s.counts.localShortages
+		result.BreakerChanges = append(result.BreakerChanges, s.breakerChanges...)
 	}
 	if options.Record {
-		result.View = view(clients, senders, sites)
-		if whole {
+		result.View = collectView(clients, senders, sites)
+		if completed {
 			result.Breaches = result.View.Check(run.Settings, tolerances, until)
 		}
 	}
@@ -273,18 +278,18 @@
 	return result
 }
 
-// tolerances of the audit, in ms: nothing is delayed by a lack of processors here, but messages still take time.
+// tolerances of the audit, in ms. Processing takes no simulated time, but messages do.
 var tolerances = audit.Tolerances{Slack: 5, Lost: 300, Restart: 1500, Drain: 1000, Wait: 20, Crossing: 20}
 
-// view collects what all nodes recorded, for the audit.
-func view(c *client, senders []*sender, sites []*site) audit.View {
+// collectView collects what all nodes recorded, for the audit.
+func collectView(c *client, senders []*sender, sites []*site) audit.View {
 	v := audit.View{Outcomes: c.outcomes, RefusedReports: c.refusals}
-	for _, h := range c.submissions {
-		v.Submissions = append(v.Submissions, audit.Submission{ID: h.id, Effect: effectName(h.effect),
-			Mark: h.effect.idempotencyKey, Grade: h.effect.Grade,
-			Portfolio: h.effect.Portfolio, Key: h.effect.Key, Dest: h.effect.Destination, Sender: h.sender,
-			At: h.submittedAt, Until: h.deadline, Intended: h.effect.At,
-			Resubmitted: h.resubmission, Status: h.status, Answered: h.answeredAt})
+	for _, sub := range c.submissions {
+		v.Submissions = append(v.Submissions, audit.Submission{ID: sub.id, Effect: effectName(sub.effect),
+			Mark: sub.effect.idempotencyKey, Grade: sub.effect.Grade,
+			Portfolio: sub.effect.Portfolio, Key: sub.effect.Key, Dest: sub.effect.Destination, Sender: sub.sender,
+			At: sub.submittedAt, Until: sub.deadline, Intended: sub.effect.At,
+			Resubmitted: sub.resubmission, Status: sub.status, Answered: sub.answeredAt})
 	}
 	for _, s := range sites {
 		for _, recorded := range s.recordedCalls {
@@ -294,7 +299,7 @@
 	}
 	for _, s := range senders {
 		v.Listings = append(v.Listings, s.listRecords...)
-		v.SenderEvents = append(v.SenderEvents, s.lifeRecords...)
+		v.SenderEvents = append(v.SenderEvents, s.senderEvents...)
 	}
 	return v
 }
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -43,8 +43,8 @@
 	return usual
 }
 
-// A run gives the same result and audit data, to the bit, with any number of workers.
-func TestSameWhateverTheWorkers(t *testing.T) {
+// A run gives identical results and audit data with any number of workers.
+func TestResultIndependentOfWorkers(t *testing.T) {
 	for seed := range uint64(seeds(t, 5)) {
 		runJSON := func(workers int) string {
 			s := load(t, "brief", seed+1, true)
@@ -106,8 +106,8 @@
 }
 
 // The audit finds two faulty senders: one that treats every grade as reissuable, and one that ignores requested waits.
-func TestWrongSendersAreFound(t *testing.T) {
-	repeating := func(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
+func TestAuditFindsFaultySenders(t *testing.T) {
+	allReissuable := func(seed uint64, settings rules.Settings, _ rules.Millis) Decider {
 		settings.Grades = append([]rules.Grade(nil), settings.Grades...)
 		for i := range settings.Grades {
 			settings.Grades[i].Repeat = rules.Reissuable
@@ -117,7 +117,7 @@
 	found := map[audit.Rule]int{}
 	for seed := range uint64(seeds(t, 20)) {
 		for _, b := range Run(context.Background(), load(t, "brief", seed+1, true),
-			Options{Workers: 1, Record: true, Policy: repeating}).Breaches {
+			Options{Workers: 1, Record: true, Policy: allReissuable}).Breaches {
 			found[b.Rule]++
 		}
 	}
@@ -128,16 +128,16 @@
 	for seed := range uint64(10) {
 		s := load(t, "brief", seed+1, true)
 		s.Traffic.Rate *= 4
-		hasty, err := PolicyOf(Immediate, s)
+		immediate, err := PolicyOf(Immediate, s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, b := range Run(context.Background(), s, Options{Workers: 1, Record: true, Policy: hasty}).Breaches {
+		for _, b := range Run(context.Background(), s, Options{Workers: 1, Record: true, Policy: immediate}).Breaches {
 			found[b.Rule]++
 		}
 	}
 	if found[audit.Waits] == 0 {
-		t.Errorf("no breach found of requested waits; breaches by rule: %v", found)
+		t.Errorf("no breach found of the rule that requested waits are kept; breaches by rule: %v", found)
 	}
 }
 
@@ -166,7 +166,8 @@
 		}
 	}
 	if credit["ours"] <= credit[OneTry] || further[Budget] >= further[Backoff] || further[OneTry] != 0 {
-		t.Errorf("credit by policy %v, further calls by policy %v", credit, further)
+		t.Errorf("credit %v, further calls %v; want credit ours > one-try, calls budget < backoff and one-try = 0",
+			credit, further)
 	}
 	if _, err := PolicyOf("nothing", load(t, "calm", 1, false)); err == nil {
 		t.Error("PolicyOf accepted the unknown policy \"nothing\"; want an error")
@@ -174,7 +175,7 @@
 }
 
 // A run whose context is cancelled returns a result that is marked Broken.
-func TestBrokenOff(t *testing.T) {
+func TestCancelledRunIsMarkedBroken(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if r := Run(ctx, load(t, "calm", 1, false), Options{Workers: 1}); !r.Broken {
--- a/internal/model/outside.go
+++ b/internal/model/outside.go
@@ -22,14 +22,14 @@
 	evWatchList                                // a sender subscribes to changes of the receiver list
 	evScriptStep                               // own event, value: index of the script step to run
 	evSenderKnownDown                          // own event, value: clients have noticed that this sender is down
-	evSettle                                   // own event: count the effects whose time is over
+	evSettle                                   // own event: count the effects whose client timeout is over
 )
 
 // statusNoAnswer is the status of a submission that the sender may have read but never answered. Status 0 means
 // that the sender cannot have read it.
 const statusNoAnswer = -1
 
-// effect is what a client wants to happen, however often it is submitted.
+// effect is what a client wants to happen once, however often the client submits it.
 type effect struct {
 	scenario.Arrival
 	number         int
@@ -59,16 +59,16 @@
 	retryAfter rules.Millis
 }
 
-// client simulates all clients, and the platform.
+// client is the node that simulates all clients and the platform.
 type client struct {
 	port
-	world        *world
+	run          *runData
 	arrivals     *scenario.Arrivals
 	nextArrival  scenario.Arrival
 	hasNext      bool // nextArrival is set
 	rng          *rand.Rand
 	effectCount  int
-	dealCount    int    // round-robin counter of chooseSender
+	roundRobin   int    // counts the calls of chooseSender
 	senderStates []int8 // by sender: 0 up, 1 down but clients have not noticed, 2 known to be down
 	watching     []bool // by sender: subscribed to changes of the receiver list
 	script       []scriptStep
@@ -94,15 +94,15 @@
 }
 
 // newClient creates the clients and the platform, and schedules the script and the first effect.
-func newClient(w *world, p port) *client {
-	c := &client{port: p, world: w, arrivals: w.Arrivals(), rng: scenario.NewRand(w.Seed, 1<<40),
-		senderStates: make([]int8, w.Senders),
-		watching:     make([]bool, w.Senders), all: results.NewTally("all"), healthy: results.NewTally("well"),
+func newClient(run *runData, p port) *client {
+	c := &client{port: p, run: run, arrivals: run.Arrivals(), rng: scenario.NewRand(run.Seed, 1<<40),
+		senderStates: make([]int8, run.Senders),
+		watching:     make([]bool, run.Senders), all: results.NewTally("all"), healthy: results.NewTally("well"),
 		failing: results.NewTally("sick")}
-	for _, name := range w.Names.Grades {
+	for _, name := range run.Names.Grades {
 		c.grades = append(c.grades, results.NewTally(name))
 	}
-	c.bins = make([]Bin, int(w.Length/binSpan)+1)
+	c.bins = make([]Bin, int(run.Length/binSpan)+1)
 	c.buildScript()
 	for i, s := range c.script {
 		c.schedule(s.at, event{kind: evScriptStep, value: int64(i)})
@@ -125,7 +125,7 @@
 	case evArrival:
 		c.effectCount++
 		eff := &effect{Arrival: c.nextArrival, number: c.effectCount, deliveredAt: -1}
-		if c.world.record && c.world.Settings.Grades[eff.Grade].Repeat == rules.Numbered {
+		if c.run.record && c.run.Settings.Grades[eff.Grade].Repeat == rules.Numbered {
 			eff.idempotencyKey = fmt.Sprintf("m%d", eff.number)
 		}
 		c.openEffects = append(c.openEffects, eff)
@@ -157,32 +157,32 @@
 
 // chooseSender distributes submissions over the senders in turn, except those known to be down.
 func (c *client) chooseSender() int {
-	n := c.world.Senders
-	c.dealCount++
+	n := c.run.Senders
+	c.roundRobin++
 	for i := range n {
-		if s := (c.dealCount + i) % n; c.senderStates[s] < 2 {
+		if s := (c.roundRobin + i) % n; c.senderStates[s] < 2 {
 			return s
 		}
 	}
-	return c.dealCount % n
+	return c.roundRobin % n
 }
 
 // submit submits an effect to a sender, unless its client timeout is over.
 func (c *client) submit(eff *effect, resubmission bool) {
 	now := c.now()
-	deadline := eff.At + c.world.Settings.Grades[eff.Grade].ClientTimeout
+	deadline := eff.At + c.run.Settings.Grades[eff.Grade].ClientTimeout
 	if deadline-now < 1 {
 		return
 	}
-	h := &submission{effect: eff, submittedAt: now, deadline: deadline, resubmission: resubmission,
+	sub := &submission{effect: eff, submittedAt: now, deadline: deadline, resubmission: resubmission,
 		sender: c.chooseSender()}
 	c.counts.submitted++
-	if c.world.record {
-		h.id = fmt.Sprintf("n%d-e%d", len(c.submissions)+1, eff.number)
-		c.submissions = append(c.submissions, h)
+	if c.run.record {
+		sub.id = fmt.Sprintf("n%d-e%d", len(c.submissions)+1, eff.number)
+		c.submissions = append(c.submissions, sub)
 	}
-	c.post(int32(h.sender+firstSenderNode), c.transitTime(), event{kind: evSubmission, submission: h})
-	c.schedule(c.world.Traffic.AnswerTimeout, event{kind: evAnswerTimeout, submission: h})
+	c.post(int32(sub.sender+firstSenderNode), c.transitTime(), event{kind: evSubmission, submission: sub})
+	c.schedule(c.run.Traffic.AnswerTimeout, event{kind: evAnswerTimeout, submission: sub})
 }
 
 // handleAnswer handles a sender's answer, or the lack of one.
@@ -194,7 +194,7 @@
 	if status > 0 {
 		sub.status, sub.answeredAt = status, c.now()
 	}
-	grade := c.world.Settings.Grades[sub.effect.Grade]
+	grade := c.run.Settings.Grades[sub.effect.Grade]
 	switch {
 	case status == 202:
 		c.counts.accepted++
@@ -211,7 +211,7 @@
 
 // resubmitLater submits an effect again after a delay, if its client wants that and the client timeout allows it.
 func (c *client) resubmitLater(sub *submission, delay rules.Millis) {
-	resubmits := c.rng.Float64() < c.world.Traffic.ResubmitShare
+	resubmits := c.rng.Float64() < c.run.Traffic.ResubmitShare
 	if resubmits && c.now()+delay < sub.deadline {
 		c.schedule(delay, event{kind: evResubmit, submission: sub})
 	}
@@ -221,12 +221,12 @@
 func (c *client) handleOutcome(e *event) {
 	confirmation := event{kind: evOutcomeAccepted, value: e.value}
 	sender := int(e.from) - firstSenderNode
-	if _, on := c.activeFault(scenario.EndsRefused); on {
+	if _, active := c.activeFault(scenario.EndsRefused); active {
 		c.refusals = append(c.refusals, audit.RefusedReport{Sender: sender, At: c.now()})
 		confirmation.kind = evOutcomeRefused
 	} else {
 		report := e.payload.(outcomeReport)
-		if c.world.record {
+		if c.run.record {
 			c.outcomes = append(c.outcomes, audit.FinalOutcome{ID: e.submission.id, Outcome: report.outcome,
 				Sender: sender,
 				At:     c.now()})
@@ -243,7 +243,7 @@
 
 // activeFault returns the active fault of a kind, if there is one.
 func (c *client) activeFault(kind string) (scenario.Fault, bool) {
-	for _, f := range c.world.Faults {
+	for _, f := range c.run.Faults {
 		if f.Kind == kind && f.Active(c.now()) {
 			return f, true
 		}
@@ -254,7 +254,7 @@
 // startWatch subscribes a sender to changes of the receiver list. The whole list is sent first.
 func (c *client) startWatch(sender int) {
 	to := int32(sender + firstSenderNode)
-	if f, on := c.activeFault(scenario.ListSilent); on && c.world.Settings.WatchOnRequest {
+	if f, active := c.activeFault(scenario.ListSilent); active && c.run.Settings.WatchOnRequest {
 		c.post(to, min(f.Until()-c.now(), 3000), event{kind: evListFailed})
 		return
 	}
@@ -263,31 +263,32 @@
 }
 
 // newListReport creates a report of the whole receiver list or of changes.
-func (c *client) newListReport(whole bool, receivers []audit.Listing) listReport {
-	t := listReport{list: rules.ListUpdated{Complete: whole}, receivers: slices.Clone(receivers)}
-	for _, m := range receivers {
-		t.list.Entries = append(t.list.Entries, c.world.listEntry(m.Receiver, m.Status))
+func (c *client) newListReport(complete bool, receivers []audit.Listing) listReport {
+	report := listReport{list: rules.ListUpdated{Complete: complete}, listings: slices.Clone(receivers)}
+	for _, listing := range receivers {
+		report.list.Entries = append(report.list.Entries, c.run.listEntry(listing.Receiver, listing.Status))
 	}
-	return t
+	return report
 }
 
 // applyListChange changes the receiver list and reports the change to all subscribed senders. While the platform is
-// silent or sends data that cannot be parsed, the reports wait.
+// silent or sends data that cannot be parsed, the reports are delayed until the fault is over.
 func (c *client) applyListChange(changes []audit.Listing) {
-	for _, m := range changes {
-		i := slices.IndexFunc(c.currentList, func(o audit.Listing) bool { return o.Receiver == m.Receiver })
+	for _, changed := range changes {
+		i := slices.IndexFunc(c.currentList,
+			func(listing audit.Listing) bool { return listing.Receiver == changed.Receiver })
 		switch {
-		case i >= 0 && m.Status == "gone":
+		case i >= 0 && changed.Status == "gone":
 			c.currentList = slices.Delete(c.currentList, i, i+1)
 		case i >= 0:
-			c.currentList[i] = m
-		case m.Status != "gone":
-			c.currentList = append(c.currentList, m)
+			c.currentList[i] = changed
+		case changed.Status != "gone":
+			c.currentList = append(c.currentList, changed)
 		}
 	}
 	delay := rules.Millis(0)
 	for _, kind := range []string{scenario.ListSilent, scenario.ListGarbage} {
-		if f, on := c.activeFault(kind); on {
+		if f, active := c.activeFault(kind); active {
 			delay = max(delay, f.Until()-c.now())
 		}
 	}
@@ -299,26 +300,27 @@
 	}
 }
 
-// buildScript builds the script: the changes that the platform makes and the faults of the senders, by time.
+// buildScript builds the script, ordered by time: changes of the receiver list, receivers that are added and removed,
+// and the faults of the senders.
 func (c *client) buildScript() {
 	add := func(at rules.Millis, run func()) { c.script = append(c.script, scriptStep{at, run}) }
-	for _, d := range c.world.Destinations {
+	for _, d := range c.run.Destinations {
 		for _, name := range d.Receivers {
 			c.currentList = append(c.currentList, audit.Listing{Receiver: name, Status: "ready"})
 		}
-		site := c.world.siteNode(d.Number)
+		site := c.run.siteNode(d.Number)
 		for n, f := range d.Faults {
 			current := d.Receivers
 			replacements := make([]string, len(current))
 			for i, name := range current {
 				replacements[i] = fmt.Sprintf("%s+%d", name, n+1)
-				c.world.addReceiver(replacements[i], d.Number)
+				c.run.addReceiver(replacements[i], d.Number)
 			}
-			listChange := func(names []string, standing string) func() {
+			listChange := func(names []string, status string) func() {
 				return func() {
 					var changes []audit.Listing
 					for _, name := range names {
-						changes = append(changes, audit.Listing{Receiver: name, Status: standing})
+						changes = append(changes, audit.Listing{Receiver: name, Status: status})
 					}
 					c.applyListChange(changes)
 				}
@@ -326,11 +328,11 @@
 			eachReceiver := func(names []string, k eventKind) func() {
 				return func() {
 					for _, name := range names {
-						c.post(site, c.transitTime(), event{kind: k, value: int64(c.world.receiver(name))})
+						c.post(site, c.transitTime(), event{kind: k, value: int64(c.run.receiverID(name))})
 					}
 				}
 			}
-			listDelay := c.world.ListDelay
+			listDelay := c.run.ListDelay
 			switch f.Kind {
 			case scenario.Drain:
 				add(f.At, eachReceiver(replacements, evReceiverAdded))
@@ -345,24 +347,24 @@
 			}
 		}
 	}
-	for i, f := range c.world.Faults {
-		for _, n := range c.world.AffectedSenders[i] {
+	for i, f := range c.run.Faults {
+		for _, n := range c.run.AffectedSenders[i] {
 			to := int32(n + firstSenderNode)
 			notify := func(k eventKind, value int64) { c.post(to, 0, event{kind: k, value: value}) }
 			restart := func() { // with the receiver list as it is at the restart
 				c.post(to, 0, event{kind: evRestart, payload: c.newListReport(true, c.currentList).list})
 				c.senderStates[n] = 0
 			}
-			takeDown := func() {
+			markDown := func() {
 				c.senderStates[n] = 1
-				c.schedule(c.world.FailureDetectionDelay, event{kind: evSenderKnownDown, value: int64(n)})
+				c.schedule(c.run.FailureDetectionDelay, event{kind: evSenderKnownDown, value: int64(n)})
 			}
 			switch f.Kind {
 			case scenario.Kill:
-				add(f.At, func() { takeDown(); notify(evKill, 0) })
+				add(f.At, func() { markDown(); notify(evKill, 0) })
 				add(f.Until(), restart)
 			case scenario.Stop:
-				add(f.At, func() { takeDown(); notify(evShutdown, 0) })
+				add(f.At, func() { markDown(); notify(evShutdown, 0) })
 				add(f.Until(), restart)
 			case scenario.Freeze:
 				add(f.At, func() { notify(evPause, 0) })
@@ -376,21 +378,21 @@
 	slices.SortStableFunc(c.script, func(a, b scriptStep) int { return cmp.Compare(a.at, b.at) })
 }
 
-// settleEffects counts the credit of the effects whose time is over; with all set, of the others too.
+// settleEffects counts the credit of the effects whose client timeout is over; with all set, of the others too.
 func (c *client) settleEffects(all bool) {
 	remaining := c.openEffects[:0]
 	for _, eff := range c.openEffects {
-		g := c.world.Settings.Grades[eff.Grade]
+		g := c.run.Settings.Grades[eff.Grade]
 		if !all && c.now() < eff.At+g.ClientTimeout+1000 {
 			remaining = append(remaining, eff)
 			continue
 		}
 		earned := 0.0
 		if eff.deliveredAt >= 0 {
-			earned = c.world.EarnedCredit(eff.Grade, eff.deliveredAt-eff.At)
+			earned = c.run.EarnedCredit(eff.Grade, eff.deliveredAt-eff.At)
 		}
 		tally := c.healthy
-		if c.world.isFailing(eff.Destination) {
+		if c.run.isFailing(eff.Destination) {
 			tally = c.failing
 		}
 		for _, t := range []*results.Tally{c.all, c.grades[eff.Grade], tally} {
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -53,14 +53,14 @@
 
 // listReport is a report of the receiver list, with the entries that the auditor records.
 type listReport struct {
-	list      rules.ListUpdated
-	receivers []audit.Listing
+	list     rules.ListUpdated
+	listings []audit.Listing
 }
 
 // sender simulates a process that runs a Decider, as internal/loop does with sockets.
 type sender struct {
 	port
-	world      *world
+	run        *runData
 	number     int
 	limits     limits.Limits
 	decider    Decider
@@ -85,19 +85,19 @@
 	usedCapacity                         float64      // sum of capacityOf over the notices; at most 1
 
 	listRecords    []audit.Listing
-	lifeRecords    []audit.SenderEvent
+	senderEvents   []audit.SenderEvent
 	breakerChanges []BreakerChange
 	counts         struct{ trips, furtherTrips, localShortages, dismissed, brokenOff, refused, turns int }
 }
 
-// never is a time after the end of any run.
+// never is later than the end of any run.
 const never = rules.Millis(1e300)
 
 // newSender creates a sender and starts it.
-func newSender(w *world, p port, number int) *sender {
-	s := &sender{port: p, world: w, number: number, notices: map[rules.NoticeID]*heldNotice{},
-		timeoutCheckAt: never, initialList: w.firstList}
-	s.limits = limits.For(w.Machine, w.Settings, connectTime)
+func newSender(run *runData, p port, number int) *sender {
+	s := &sender{port: p, run: run, number: number, notices: map[rules.NoticeID]*heldNotice{},
+		timeoutCheckAt: never, initialList: run.initialList}
+	s.limits = limits.For(run.Machine, run.Settings, connectTime)
 	s.connLimit = s.limits.Receivers
 	s.start()
 	return s
@@ -106,10 +106,10 @@
 // connectTime is the connect timeout in milliseconds: the daemon's default.
 const connectTime = 1000
 
-// start starts the process with the notices that the ledger kept from the previous one.
+// start starts the process with the notices that its ledger kept.
 func (s *sender) start() {
 	s.startCount++
-	settings := s.world.Settings
+	settings := s.run.Settings
 	settings.Slots = min(settings.Slots, s.limits.Receivers-s.limits.Receivers/16)
 	settings.MaxPause = toMillis(s.limits.MaxPause)
 	for i := range settings.Kinds {
@@ -117,39 +117,39 @@
 		settings.Kinds[i].PerCall = 1
 	}
 	s.alive, s.shuttingDown, s.sending, s.startedAt, s.turnDue = true, false, true, s.now(), false
-	s.decider = s.world.newDecider(senderSeed(s.world.Seed, s.number, s.startCount), settings, s.now())
+	s.decider = s.run.newDecider(senderSeed(s.run.Seed, s.number, s.startCount), settings, s.now())
 	s.events, s.unanswered = nil, nil
 	s.conns, s.idleConns, s.inFlight, s.timeoutCheckAt, s.usedCapacity = nil, map[rules.ReceiverID][]*conn{},
 		nil, never, 0
 	ids := make([]rules.NoticeID, 0, len(s.notices))
-	for n := range s.notices {
-		ids = append(ids, n)
+	for id := range s.notices {
+		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	s.events = append(s.events, s.initialList)
-	for _, n := range ids {
-		h := s.notices[n]
-		if h.call = nil; h.outcome != "" {
-			if h.reportBackoff = 0; h.outcomeAccepted {
-				delete(s.notices, n)
+	for _, id := range ids {
+		held := s.notices[id]
+		if held.call = nil; held.outcome != "" {
+			if held.reportBackoff = 0; held.outcomeAccepted {
+				delete(s.notices, id)
 			} else {
-				s.reportOutcome(h)
+				s.reportOutcome(held)
 			}
 			continue
 		}
-		h.tripRecorded = false
-		s.usedCapacity += s.capacityOf(h)
-		e := s.acceptedEvent(h)
-		e.Trips, e.PossibleRuns = h.trips, len(h.mayHaveRunAt)
-		if len(h.mayHaveRunAt) > 0 {
-			e.FirstRunAgo = s.now() - h.mayHaveRunAt[0]
+		held.tripRecorded = false
+		s.usedCapacity += s.capacityOf(held)
+		e := s.acceptedEvent(held)
+		e.Trips, e.PossibleRuns = held.trips, len(held.mayHaveRunAt)
+		if len(held.mayHaveRunAt) > 0 {
+			e.FirstRunAgo = s.now() - held.mayHaveRunAt[0]
 		}
 		s.events = append(s.events, e)
 	}
 	if !settings.WatchOnRequest {
-		s.post(outsideNode, s.transitTime(), event{kind: evWatchList})
+		s.post(clientNode, s.transitTime(), event{kind: evWatchList})
 	}
-	s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "ready", At: s.now()})
+	s.senderEvents = append(s.senderEvents, audit.SenderEvent{Sender: s.number, What: "ready", At: s.now()})
 	s.scheduleTurn()
 }
 
@@ -223,12 +223,12 @@
 			s.expireTimeouts()
 		}
 	case evListReport:
-		t := e.payload.(listReport)
-		for _, m := range t.receivers {
-			m.Sender, m.At = s.number, s.now()
-			s.listRecords = append(s.listRecords, m)
+		report := e.payload.(listReport)
+		for _, listing := range report.listings {
+			listing.Sender, listing.At = s.number, s.now()
+			s.listRecords = append(s.listRecords, listing)
 		}
-		s.queueEvent(t.list)
+		s.queueEvent(report.list)
 	case evListFailed:
 		s.queueEvent(rules.ListFailed{})
 	case evOutcomeRefused:
@@ -242,14 +242,14 @@
 	case evKill:
 		s.kill()
 	case evShutdown:
-		s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "leaving", At: s.now()})
+		s.senderEvents = append(s.senderEvents, audit.SenderEvent{Sender: s.number, What: "leaving", At: s.now()})
 		s.shuttingDown = true
 		s.schedule(toMillis(s.limits.Linger), event{kind: evExitCheck, value: int64(s.startCount)})
 	case evExitCheck:
 		s.checkExit(uint64(e.value))
 	case evPause:
 		s.paused = true
-		s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "frozen", At: s.now()})
+		s.senderEvents = append(s.senderEvents, audit.SenderEvent{Sender: s.number, What: "frozen", At: s.now()})
 	case evDescriptorLimit:
 		if s.connLimit = s.limits.Receivers; e.value >= 0 {
 			s.connLimit = min(s.connLimit, len(s.conns)+int(e.value))
@@ -257,7 +257,7 @@
 	}
 }
 
-// queueEvent passes an event to the decider at the next turn.
+// queueEvent keeps an event for the decider's next turn.
 func (s *sender) queueEvent(e rules.Event) {
 	s.events = append(s.events, e)
 	s.scheduleTurn()
@@ -267,17 +267,17 @@
 func (s *sender) scheduleTurn() {
 	if !s.turnDue {
 		s.turnDue = true
-		s.schedule(max(s.lastTurnAt+s.world.turnInterval-s.now(), 0), event{kind: evTurn, value: int64(s.startCount)})
+		s.schedule(max(s.lastTurnAt+s.run.turnInterval-s.now(), 0), event{kind: evTurn, value: int64(s.startCount)})
 	}
 }
 
 // accept accepts or rejects a submission.
 func (s *sender) accept(sub *submission) {
 	answer := func(status int, retryAfter rules.Millis) {
-		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: sub,
+		s.post(clientNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: sub,
 			value: int64(status), payload: retryAfter})
 	}
-	full := s.world.Settings.HoldLimit > 0 && len(s.notices) >= s.world.Settings.HoldLimit
+	full := s.run.Settings.HoldLimit > 0 && len(s.notices) >= s.run.Settings.HoldLimit
 	switch {
 	case !s.alive:
 		answer(0, 0)
@@ -326,7 +326,7 @@
 			s.counts.refused++
 			s.removeNotice(h)
 		}
-		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission,
+		s.post(clientNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission,
 			value: int64(status), payload: retryAfter})
 	}
 	for _, a := range actions {
@@ -364,9 +364,9 @@
 	case rules.SetTimer:
 		s.schedule(a.After, event{kind: evDeciderTimer, value: int64(s.startCount)})
 	case rules.WatchList:
-		s.post(outsideNode, s.transitTime(), event{kind: evWatchList})
+		s.post(clientNode, s.transitTime(), event{kind: evWatchList})
 	case rules.Turned:
-		if s.world.record {
+		if s.run.record {
 			s.breakerChanges = append(s.breakerChanges, BreakerChange{At: s.now(), Sender: s.number,
 				Destination: int(a.Destination), State: a.State, Why: a.Why})
 		}
@@ -374,12 +374,12 @@
 }
 
 // send starts a trip, on an idle connection if there is one.
-func (s *sender) send(h *heldNotice, a rules.Send) {
-	c := &call{submission: h.submission, notice: h.id, receiver: a.Receiver, startedAt: s.now(),
+func (s *sender) send(held *heldNotice, a rules.Send) {
+	c := &call{submission: held.submission, notice: held.id, receiver: a.Receiver, startedAt: s.now(),
 		timeoutAt: s.now() + a.TimeOut, inFlight: true}
-	h.call = c
+	held.call = c
 	s.counts.trips++
-	if h.trips++; h.trips > 1 {
+	if held.trips++; held.trips > 1 {
 		s.counts.furtherTrips++
 	}
 	heap.Push(&s.inFlight, c)
@@ -397,7 +397,7 @@
 	}
 	if len(s.conns) >= s.connLimit && !s.closeOldest() {
 		s.counts.localShortages++
-		h.trips--
+		held.trips--
 		s.finishTrip(c, rules.TripEnded{Result: rules.LocalShortage})
 		return
 	}
@@ -411,7 +411,7 @@
 
 // postToSite sends an event to the site of a submission's destination.
 func (s *sender) postToSite(sub *submission, e event) {
-	to := s.world.siteNode(sub.effect.Destination)
+	to := s.run.siteNode(sub.effect.Destination)
 	s.post(to, s.transitTime(), e)
 }
 
@@ -505,29 +505,29 @@
 func (s *sender) finishTrip(c *call, e rules.TripEnded) {
 	c.inFlight = false
 	heap.Remove(&s.inFlight, c.heapIndex)
-	h := s.notices[c.notice]
-	h.call = nil
+	held := s.notices[c.notice]
+	held.call = nil
 	e.Notice, e.Receiver, e.Duration = c.notice, c.receiver, s.now()-c.startedAt
 	e.NoticeEnded = e.NoticeEnded || e.Result == rules.Handled
 	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.NotSent ||
 		e.Result == rules.LocalShortage || e.Result == rules.Recalled
-	if h.tripRecorded && notRun {
-		h.mayHaveRunAt = h.mayHaveRunAt[:len(h.mayHaveRunAt)-1]
+	if held.tripRecorded && notRun {
+		held.mayHaveRunAt = held.mayHaveRunAt[:len(held.mayHaveRunAt)-1]
 	}
-	h.tripRecorded = false
+	held.tripRecorded = false
 	if e.NoticeEnded {
-		h.done = true
+		held.done = true
 	}
-	if e.Result == rules.Handled && h.outcome == "" && s.mayBeLate(c.notice) {
-		h.outcome = "given_up"
-		s.usedCapacity -= s.capacityOf(h)
-		s.reportOutcome(h)
+	if e.Result == rules.Handled && held.outcome == "" && s.mayBeLate(c.notice) {
+		held.outcome = "given_up"
+		s.usedCapacity -= s.capacityOf(held)
+		s.reportOutcome(held)
 	}
 	switch {
-	case h.done && h.outcome == "":
-		s.removeNotice(h)
-	case h.outcomeAccepted:
-		delete(s.notices, h.id)
+	case held.done && held.outcome == "":
+		s.removeNotice(held)
+	case held.outcomeAccepted:
+		delete(s.notices, held.id)
 	}
 	s.queueEvent(e)
 }
@@ -543,8 +543,8 @@
 
 // endNotice sets the final outcome of a notice and reports it.
 func (s *sender) endNotice(id rules.NoticeID, outcome string, retryAfter rules.Millis) {
-	h := s.notices[id]
-	if h == nil {
+	held := s.notices[id]
+	if held == nil {
 		return // rejected in the turn that accepted it
 	}
 	if outcome == "given_up" {
@@ -552,17 +552,17 @@
 	} else {
 		s.counts.dismissed++
 	}
-	h.done, h.outcome, h.retryAfter = true, outcome, retryAfter
-	s.usedCapacity -= s.capacityOf(h)
-	s.reportOutcome(h)
+	held.done, held.outcome, held.retryAfter = true, outcome, retryAfter
+	s.usedCapacity -= s.capacityOf(held)
+	s.reportOutcome(held)
 }
 
 // reportOutcome reports a final outcome to the platform and doubles the delay before the next attempt, up to a
 // limit.
-func (s *sender) reportOutcome(h *heldNotice) {
-	s.post(outsideNode, s.transitTime(), event{kind: evOutcome, submission: h.submission, value: int64(h.id),
-		payload: outcomeReport{h.outcome, h.retryAfter}})
-	h.reportBackoff = min(max(2*h.reportBackoff, toMillis(s.limits.BackOff)), toMillis(s.limits.MaxBackOff))
+func (s *sender) reportOutcome(held *heldNotice) {
+	s.post(clientNode, s.transitTime(), event{kind: evOutcome, submission: held.submission, value: int64(held.id),
+		payload: outcomeReport{held.outcome, held.retryAfter}})
+	held.reportBackoff = min(max(2*held.reportBackoff, toMillis(s.limits.BackOff)), toMillis(s.limits.MaxBackOff))
 }
 
 // removeNotice removes a notice and frees its capacity.
@@ -587,7 +587,7 @@
 		return
 	}
 	s.removeConn(cn)
-	s.post(s.world.siteNode(int(s.world.destinationOf[cn.receiver])), s.transitTime(), event{kind: evConnClosed,
+	s.post(s.run.siteNode(int(s.run.destinationOf[cn.receiver])), s.transitTime(), event{kind: evConnClosed,
 		conn: cn})
 }
 
@@ -653,7 +653,7 @@
 
 // kill ends the process at once; only what its ledger recorded remains.
 func (s *sender) kill() {
-	s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "killed", At: s.now()})
+	s.senderEvents = append(s.senderEvents, audit.SenderEvent{Sender: s.number, What: "killed", At: s.now()})
 	s.stop()
 }
 
@@ -665,7 +665,7 @@
 	}
 	for _, h := range s.unanswered { // the clients of these get no answer
 		delete(s.notices, h.id)
-		s.post(outsideNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission,
+		s.post(clientNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission,
 			value: statusNoAnswer, payload: rules.Millis(0)})
 	}
 	s.unanswered, s.events = nil, nil
@@ -676,7 +676,7 @@
 	if startCount != s.startCount {
 		return
 	}
-	elapsed := s.now() - s.lifeRecords[len(s.lifeRecords)-1].At
+	elapsed := s.now() - s.senderEvents[len(s.senderEvents)-1].At
 	s.sending = elapsed < toMillis(s.limits.SendUntil)
 	if s.sending && len(s.notices) > 0 || len(s.inFlight) > 0 && elapsed < toMillis(s.limits.ExitBy) {
 		s.schedule(50, event{kind: evExitCheck, value: int64(startCount)})
@@ -695,7 +695,7 @@
 		return
 	}
 	s.paused = false
-	s.lifeRecords = append(s.lifeRecords, audit.SenderEvent{Sender: s.number, What: "going on", At: s.now()})
+	s.senderEvents = append(s.senderEvents, audit.SenderEvent{Sender: s.number, What: "going on", At: s.now()})
 	deferred := s.deferredEvents
 	s.deferredEvents = nil
 	for i := range deferred {
--- a/internal/model/site.go
+++ b/internal/model/site.go
@@ -27,8 +27,9 @@
 	receiverIndex int // in the receiver's conns
 }
 
-// call is a trip in flight. Its sender writes the first group of fields, the site the second.
+// call is a trip in flight.
 type call struct {
+	// Written by the sender.
 	submission *submission
 	notice     rules.NoticeID
 	receiver   rules.ReceiverID
@@ -39,12 +40,13 @@
 	written    bool
 	inFlight   bool
 
-	fate   gateway.CallOutcome
-	record audit.Call
-	done   bool
+	// Written by the site.
+	outcome gateway.CallOutcome
+	record  audit.Call
+	done    bool // responded to, or its connection has ended
 }
 
-// response is what a sender reads of a gateway's response.
+// response is the part of a gateway's response that a sender uses.
 type response struct {
 	status                   int
 	retryAfter               rules.Millis
@@ -52,10 +54,10 @@
 	limitLeft, limitRate     float64
 }
 
-// site is a destination with its receivers.
+// site is the node that simulates a destination with its receivers.
 type site struct {
 	port
-	world         *world
+	run           *runData
 	gateway       *gateway.Site
 	receivers     []*receiver
 	byID          map[rules.ReceiverID]*receiver
@@ -88,10 +90,10 @@
 )
 
 // newSite creates a site with the receivers that its destination has at the start.
-func newSite(w *world, p port, d *scenario.Destination) *site {
-	s := &site{port: p, world: w, gateway: gateway.NewSite(w.Instance, d), byID: map[rules.ReceiverID]*receiver{}}
+func newSite(run *runData, p port, d *scenario.Destination) *site {
+	s := &site{port: p, run: run, gateway: gateway.NewSite(run.Instance, d), byID: map[rules.ReceiverID]*receiver{}}
 	for _, name := range d.Receivers {
-		s.addReceiver(w.receiver(name))
+		s.addReceiver(run.receiverID(name))
 	}
 	s.applyFaults(0)
 	s.scheduleFaultChange(0)
@@ -100,9 +102,9 @@
 
 // addReceiver adds a receiver.
 func (s *site) addReceiver(id rules.ReceiverID) {
-	p := &receiver{id: id, name: s.world.receiverNames[id]}
-	s.receivers = append(s.receivers, p)
-	s.byID[id] = p
+	rc := &receiver{id: id, name: s.run.receiverNames[id]}
+	s.receivers = append(s.receivers, rc)
+	s.byID[id] = rc
 }
 
 // handle processes one event.
@@ -124,9 +126,9 @@
 		s.addReceiver(rules.ReceiverID(e.value))
 		s.applyFaults(s.now())
 	case evReceiverRemoved:
-		p := s.byID[rules.ReceiverID(e.value)]
-		p.removed = true
-		s.resetConns(p)
+		rc := s.byID[rules.ReceiverID(e.value)]
+		rc.removed = true
+		s.resetConns(rc)
 	}
 }
 
@@ -154,17 +156,17 @@
 			unresponsive = unresponsive || f.Active(now)
 		}
 	}
-	for _, p := range s.receivers {
-		p.refusing, p.unresponsive = refusing, unresponsive
+	for _, rc := range s.receivers {
+		rc.refusing, rc.unresponsive = refusing, unresponsive
 		if refusing {
-			s.resetConns(p)
+			s.resetConns(rc)
 		}
 	}
 }
 
 // resetConns resets all connections of a receiver.
-func (s *site) resetConns(p *receiver) {
-	for _, c := range slices.Clone(p.conns) {
+func (s *site) resetConns(rc *receiver) {
+	for _, c := range slices.Clone(rc.conns) {
 		s.resetConn(c)
 	}
 }
@@ -178,12 +180,12 @@
 	s.postToSender(c.sender, event{kind: evConnReset, conn: c})
 }
 
-// dropConn removes a connection; a call in progress on it is done.
+// dropConn removes a connection and marks a call in progress on it as done.
 func (s *site) dropConn(c *conn) {
-	p := s.byID[c.receiver]
-	last := p.conns[len(p.conns)-1]
-	p.conns[c.receiverIndex], last.receiverIndex = last, c.receiverIndex
-	p.conns = p.conns[:len(p.conns)-1]
+	rc := s.byID[c.receiver]
+	last := rc.conns[len(rc.conns)-1]
+	rc.conns[c.receiverIndex], last.receiverIndex = last, c.receiverIndex
+	rc.conns = rc.conns[:len(rc.conns)-1]
 	c.open = false
 	s.openConns--
 	if call := c.serving; call != nil && !call.done {
@@ -199,16 +201,16 @@
 
 // connect accepts or refuses a connection, or does not respond at all.
 func (s *site) connect(c *conn) {
-	p := s.byID[c.receiver]
+	rc := s.byID[c.receiver]
 	switch {
-	case p != nil && p.unresponsive:
+	case rc != nil && rc.unresponsive:
 		// No response: the sender's connect timeout ends the attempt.
-	case p == nil || p.removed || p.refusing,
+	case rc == nil || rc.removed || rc.refusing,
 		s.gateway.Group.Profile.Connections > 0 && s.openConns >= s.gateway.Group.Profile.Connections:
 		s.postToSender(c.sender, event{kind: evConnectRefused, conn: c})
 	default:
-		c.open, c.receiverIndex = true, len(p.conns)
-		p.conns = append(p.conns, c)
+		c.open, c.receiverIndex = true, len(rc.conns)
+		rc.conns = append(rc.conns, c)
 		s.openConns++
 		s.postToSender(c.sender, event{kind: evConnected, conn: c})
 	}
@@ -229,48 +231,48 @@
 	}
 	sub := c.submission
 	c.record = audit.Call{ID: sub.id, Receiver: s.byID[c.receiver].name, Mark: sub.effect.idempotencyKey,
-		Dest: s.gateway.Number, SeparateRoutes: s.world.apart[s.gateway.Number],
+		Dest: s.gateway.Number, SeparateRoutes: s.run.separateRoutes[s.gateway.Number],
 		First: now, Last: now}
 	if _, silent := s.gateway.Active(scenario.Silent, now); silent {
 		s.deferToFaultChange(c) // the call is not read until the fault ends; then the connection is reset
-		c.fate = gateway.CallOutcome{Reset: true, LostUnread: true}
+		c.outcome = gateway.CallOutcome{Reset: true, LostUnread: true}
 		c.conn.serving = c
 		return
 	}
-	if _, struck := s.gateway.DrawFault(scenario.ResetBefore, -1, now); struck {
+	if _, affected := s.gateway.DrawFault(scenario.ResetBefore, -1, now); affected {
 		c.record.ID, c.record.Unread, c.record.Fault = "", true, scenario.ResetBefore
 		s.recordCall(c)
 		s.resetConn(c.conn)
 		return
 	}
-	c.fate = s.gateway.Decide(now, int(c.conn.sender)-firstSenderNode, sub.effect.Grade)
-	if c.fate.CausedOverload {
+	c.outcome = s.gateway.Decide(now, int(c.conn.sender)-firstSenderNode, sub.effect.Grade)
+	if c.outcome.CausedOverload {
 		s.overloads = append(s.overloads, audit.Overload{Dest: s.gateway.Number, At: now,
 			By: s.gateway.Core.CallsBySender(), SawOutage: s.gateway.SendersThatSawOutage()})
 	}
-	c.record.Ran, c.record.Fault, c.record.Unread = c.fate.TookEffect, c.fate.Fault, c.fate.LostUnread
+	c.record.Ran, c.record.Fault, c.record.Unread = c.outcome.TookEffect, c.outcome.Fault, c.outcome.LostUnread
 	c.conn.serving = c
 	s.recordCall(c)
-	if !c.fate.NoResponse {
-		s.schedule(max(c.fate.At-now, 0), event{kind: evResponseDue, call: c})
+	if !c.outcome.NoResponse {
+		s.schedule(max(c.outcome.At-now, 0), event{kind: evResponseDue, call: c})
 	}
 }
 
 // recordCall counts a call and, if the run is recorded, keeps it.
 func (s *site) recordCall(c *call) {
 	s.counts.calls++
-	if h := c.submission; !c.record.Unread {
-		if h.called {
+	if sub := c.submission; !c.record.Unread {
+		if sub.called {
 			s.counts.furtherCalls++
 		}
-		h.called = true
-		if c.record.Ran && s.world.Settings.Grades[h.effect.Grade].Repeat == rules.AtMostOnce {
-			if h.effect.runs++; h.effect.runs > 1 {
+		sub.called = true
+		if c.record.Ran && s.run.Settings.Grades[sub.effect.Grade].Repeat == rules.AtMostOnce {
+			if sub.effect.runs++; sub.effect.runs > 1 {
 				s.counts.secondEffects++
 			}
 		}
 	}
-	if s.world.record {
+	if s.run.record {
 		s.recordedCalls = append(s.recordedCalls, c)
 	}
 }
@@ -297,29 +299,29 @@
 		return
 	}
 	now := s.now()
-	if _, on := s.gateway.Active(scenario.Silent, now); on {
+	if _, active := s.gateway.Active(scenario.Silent, now); active {
 		s.deferToFaultChange(c)
-		c.fate.Reset, c.fate.Status, c.fate.Malformed = true, 0, false
+		c.outcome.Reset, c.outcome.Status, c.outcome.Malformed = true, 0, false
 		return
 	}
-	if _, on := s.gateway.Active(scenario.Pauses, now); on {
+	if _, active := s.gateway.Active(scenario.Pauses, now); active {
 		s.deferToFaultChange(c)
 		return
 	}
-	if c.fate.Dribbled {
-		c.fate.Dribbled = false
+	if c.outcome.Dribbled {
+		c.outcome.Dribbled = false
 		s.schedule(dribbleTime, event{kind: evResponseDue, call: c})
 		return
 	}
-	if c.fate.Reset {
+	if c.outcome.Reset {
 		s.resetConn(c.conn)
 		return
 	}
 	c.done = true
-	if c.conn.serving == c && !c.fate.Malformed {
+	if c.conn.serving == c && !c.outcome.Malformed {
 		c.conn.serving = nil
 	}
-	f := c.fate
+	f := c.outcome
 	c.record.Replied, c.record.Status, c.record.RequestedWait, c.record.Malformed = now, f.Status, f.Wait, f.Malformed
 	if !f.Malformed && (f.Status == 429 || f.Status == 503) {
 		s.counts.fullResponses++
