--- a/internal/lab/returns_test.go
+++ b/internal/lab/returns_test.go
@@ -8,7 +8,7 @@
 	"chuteweir.example/chuteweir/internal/audit"
 )
 
-// overloadSeeds is the number of seeds that the overload scenario is run with.
+// overloadSeeds is the number of seeds with which the overload scenario is run.
 const overloadSeeds = 30
 
 // Guards against overloading a destination that recovers while the senders hold more notices for it than it can
@@ -18,8 +18,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := Plan{Scenario: "../../docs/lab/overload.toml", Variants: []Variant{ours}, Seeds: ConsecutiveSeeds(1, overloadSeeds),
-		Parallel: runtime.GOMAXPROCS(0), Record: true}
+	plan := Plan{Scenario: "../../docs/lab/overload.toml", Variants: []Variant{ours},
+		Seeds: ConsecutiveSeeds(1, overloadSeeds), Parallel: runtime.GOMAXPROCS(0), Record: true}
 	rows, err := plan.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/rows.go
+++ b/internal/lab/rows.go
@@ -27,7 +27,7 @@
 	LowerIsBetter bool
 }
 
-// ratio returns count/total, with a total of 0 taken as 1.
+// ratio returns count/total. A total of 0 is taken as 1, so that the result is a number.
 func ratio(count, total int) float64 { return float64(count) / float64(max(total, 1)) }
 
 // Figures lists the figures that rows contain, in the order in which tables show them. Those that divide a count by
@@ -63,8 +63,8 @@
 	Scenario string             `json:"scenario"`
 	Hash     string             `json:"hash"` // of the scenario file's text with the variant's settings applied
 	Seed     uint64             `json:"seed"`
-	Revision string             `json:"revision"` // of the program's source
-	Command  string             `json:"command,omitempty"`
+	Revision string             `json:"revision"`          // of the program's source
+	Command  string             `json:"command,omitempty"` // command line that made the run
 	Figures  map[string]float64 `json:"figures"`
 
 	Result *model.Result `json:"-"`
@@ -94,10 +94,10 @@
 	Scenario string
 	Variants []Variant
 	Seeds    []uint64
-	Parallel int
-	Record   bool // check the six rules on each run
+	Parallel int  // runs at a time; below 1: one
+	Record   bool // keep what the audit of the six rules needs, and audit each run
 	Network  model.Network
-	Command  string
+	Command  string    // the command line, which rows record
 	OnRow    func(Row) // called for each run, by seed and then by variant
 }
 
@@ -125,8 +125,8 @@
 	}
 	var jobs []*job
 	for _, seed := range p.Seeds {
-		for _, w := range p.Variants {
-			jobs = append(jobs, &job{variant: w, seed: seed, done: make(chan struct{})})
+		for _, variant := range p.Variants {
+			jobs = append(jobs, &job{variant: variant, seed: seed, done: make(chan struct{})})
 		}
 	}
 	queue, revision := make(chan *job), Revision()
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -23,7 +23,7 @@
 	SearchBreaches bool   // look for rule breaches instead of lost credit
 	Seeds          []uint64
 	Parallel       int
-	OnFinding      func(Finding)
+	OnFinding      func(Finding) // called for each seed that completes, in any order, one call at a time
 }
 
 // Finding is a scenario with its badness: the credit lost against the reference policy, or the number of rule
@@ -103,7 +103,7 @@
 
 // Shrink simplifies a finding: it removes faults, halves their parts and durations, sets their shares to 1 and
 // shortens the run by a quarter at a time. It keeps each change after which the badness is at least keep times that of
-// the finding.
+// the finding. If ctx is cancelled, it returns the simplest finding so far.
 func (s Search) Shrink(ctx context.Context, f Finding, keep float64) (Finding, error) {
 	minBadness := f.Badness * keep
 	tryChange := func(change func(*scenario.Scenario) bool) (bool, error) {
@@ -139,12 +139,12 @@
 			}
 		}
 		for i := range f.Scenario.Faults {
-			for _, change := range []func(x *scenario.Fault) bool{
-				func(x *scenario.Fault) bool { x.Part = x.Part / 2; return x.Part > 0.02 },
-				func(x *scenario.Fault) bool { x.For = x.For / 2; return x.For > 100 },
-				func(x *scenario.Fault) bool {
-					reduced := x.Share != 1
-					x.Share = 1
+			for _, change := range []func(fault *scenario.Fault) bool{
+				func(fault *scenario.Fault) bool { fault.Part = fault.Part / 2; return fault.Part > 0.02 },
+				func(fault *scenario.Fault) bool { fault.For = fault.For / 2; return fault.For > 100 },
+				func(fault *scenario.Fault) bool {
+					reduced := fault.Share != 1
+					fault.Share = 1
 					return reduced
 				},
 			} {
@@ -155,8 +155,8 @@
 		}
 		err := step(func(sc *scenario.Scenario) bool {
 			faultsEnd := rules.Millis(0)
-			for _, x := range sc.Faults {
-				faultsEnd = max(faultsEnd, x.Until())
+			for _, fault := range sc.Faults {
+				faultsEnd = max(faultsEnd, fault.Until())
 			}
 			sc.Length = sc.Length * 3 / 4
 			return sc.Length > faultsEnd && sc.Length > 1000
@@ -185,20 +185,20 @@
 	tree["name"], tree["about"], tree["seed"] = fmt.Sprintf("found-%d", f.Seed), about, int64(f.Seed)
 	tree["length"] = formatDuration(f.Scenario.Length)
 	var faults []any
-	for _, x := range f.Scenario.Faults {
-		table := map[string]any{"kind": x.Kind, "at": formatDuration(x.At), "for": formatDuration(x.For), "part": x.Part,
-			"share": x.Share, "size": x.Size}
-		if x.Group != "" {
-			table["group"] = x.Group
+	for _, fault := range f.Scenario.Faults {
+		table := map[string]any{"kind": fault.Kind, "at": formatDuration(fault.At), "for": formatDuration(fault.For),
+			"part": fault.Part, "share": fault.Share, "size": fault.Size}
+		if fault.Group != "" {
+			table["group"] = fault.Group
 		}
-		if x.Grade != "" {
-			table["grade"] = x.Grade
+		if fault.Grade != "" {
+			table["grade"] = fault.Grade
 		}
-		if x.Busiest {
+		if fault.Busiest {
 			table["busiest"] = true
 		}
-		if x.Period > 0 {
-			table["each"] = formatDuration(x.Period)
+		if fault.Period > 0 {
+			table["each"] = formatDuration(fault.Period)
 		}
 		faults = append(faults, table)
 	}
--- a/internal/lab/spec.go
+++ b/internal/lab/spec.go
@@ -28,67 +28,67 @@
 // ParseVariant parses a variant: parts separated by commas, each policy=NAME, file=PATH, mix=true or
 // section.key=value. An empty text means the scenario as its file has it, with the policy ours.
 func ParseVariant(text string) (Variant, error) {
-	w := Variant{Name: text, Policy: "ours"}
+	variant := Variant{Name: text, Policy: "ours"}
 	if text == "" {
-		w.Name = "ours"
-		return w, nil
+		variant.Name = "ours"
+		return variant, nil
 	}
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		switch {
 		case !found:
-			return w, fmt.Errorf("variant %q: expected key=value, found %q", text, part)
+			return variant, fmt.Errorf("variant %q: expected key=value, found %q", text, part)
 		case key == "policy":
-			w.Policy = value
+			variant.Policy = value
 		case key == "file":
-			w.File = value
+			variant.File = value
 		case strings.Contains(key, "."):
-			w.Settings = append(w.Settings, Setting{key, value})
+			variant.Settings = append(variant.Settings, Setting{key, value})
 		case key == "mix":
-			w.Mix = value == "true"
+			variant.Mix = value == "true"
 		default:
-			return w, fmt.Errorf("variant %q: expected policy=NAME, file=PATH, mix=true or section.key=value, found %q",
+			return variant, fmt.Errorf("variant %q: expected policy=NAME, file=PATH, mix=true or section.key=value, found %q",
 				text, part)
 		}
 	}
-	return w, nil
+	return variant, nil
 }
 
 // Scenario returns the scenario with the variant's settings and the seed, validated like any scenario file.
-func (w Variant) Scenario(name string, seed uint64) (*scenario.Scenario, error) {
-	text, err := w.Text(name)
+func (v Variant) Scenario(name string, seed uint64) (*scenario.Scenario, error) {
+	text, err := v.Text(name)
 	if err != nil {
 		return nil, err
 	}
 	s, faults := scenario.Read(name, text)
 	if err := faults.ErrorOrNil(); err != nil {
-		return nil, fmt.Errorf("variant %s: %w", w.Name, err)
+		return nil, fmt.Errorf("variant %s: %w", v.Name, err)
 	}
 	s.Seed = seed
-	if w.Mix {
+	if v.Mix {
 		scenario.Mix(s)
 	}
 	return s, nil
 }
 
 // Text returns the text of the scenario file with the variant's settings applied.
-func (w Variant) Text(name string) ([]byte, error) {
+func (v Variant) Text(name string) ([]byte, error) {
 	text, err := scenario.Text(name)
-	if err != nil || len(w.Settings) == 0 && w.File == "" {
+	if err != nil || len(v.Settings) == 0 && v.File == "" {
 		return text, err
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	if w.File != "" {
-		file, err := os.ReadFile(w.File)
+	if v.File != "" {
+		file, err := os.ReadFile(v.File)
 		if err != nil {
-			return nil, fmt.Errorf("variant %s: %w", w.Name, err)
+			return nil, fmt.Errorf("variant %s: %w", v.Name, err)
 		}
 		var sections map[string]any
 		if err := toml.Unmarshal(file, &sections); err != nil {
-			return nil, fmt.Errorf("variant %s: %s: %w", w.Name, w.File, err)
+			return nil, fmt.Errorf("variant %s: %s: %w", v.Name, v.File, err)
 		}
 		for _, key := range []string{"sending", "goal", "dismissal", "return"} {
 			if section, ok := sections[key]; ok {
@@ -96,9 +96,9 @@
 			}
 		}
 	}
-	for _, s := range w.Settings {
+	for _, s := range v.Settings {
 		if err := s.apply(tree); err != nil {
-			return nil, fmt.Errorf("variant %s: %w", w.Name, err)
+			return nil, fmt.Errorf("variant %s: %w", v.Name, err)
 		}
 	}
 	return toml.Marshal(tree)
@@ -136,7 +136,8 @@
 		}
 		found := false
 		for _, element := range section {
-			if table, ok := element.(map[string]any); ok && (path[1] == "*" || table["name"] == path[1] || table["kind"] == path[1]) {
+			if table, ok := element.(map[string]any); ok &&
+				(path[1] == "*" || table["name"] == path[1] || table["kind"] == path[1]) {
 				table[path[2]], found = value, true
 			}
 		}
@@ -187,12 +188,13 @@
 	variants := []Variant{base}
 	for _, r := range ranges {
 		if len(r.Values) == 0 {
-			return nil, fmt.Errorf("%s: a grid needs values, such as %s=10,20,40; an interval needs --samples", r.Key, r.Key)
+			return nil, fmt.Errorf("%s: a grid needs values, such as %s=10,20,40; an interval needs --samples", r.Key,
+				r.Key)
 		}
 		var next []Variant
-		for _, w := range variants {
-			for _, v := range r.Values {
-				next = append(next, w.withSetting(r.Key, v))
+		for _, variant := range variants {
+			for _, value := range r.Values {
+				next = append(next, variant.withSetting(r.Key, value))
 			}
 		}
 		variants = next
@@ -200,37 +202,39 @@
 	return variants, nil
 }
 
-// withSetting returns a copy of the variant with one more setting, which becomes part of its name.
-func (w Variant) withSetting(key, value string) Variant {
+// withSetting returns a copy of the variant with one more setting, which becomes part of its name. The key policy sets
+// the policy.
+func (v Variant) withSetting(key, value string) Variant {
 	if key == "policy" {
-		w.Policy = value
+		v.Policy = value
 	} else {
-		w.Settings = append(slices.Clone(w.Settings), Setting{key, value})
+		v.Settings = append(slices.Clone(v.Settings), Setting{key, value})
 	}
-	if name := key + "=" + value; w.Name == "" || w.Name == "ours" {
-		w.Name = name
+	if name := key + "=" + value; v.Name == "" || v.Name == "ours" {
+		v.Name = name
 	} else {
-		w.Name += "," + name
+		v.Name += "," + name
 	}
-	return w
+	return v
 }
 
 // Hypercube returns variants of base that form a Latin hypercube sample of the ranges: each range is divided into as
 // many equal parts as there are samples, and each part contains one sample.
 func Hypercube(base Variant, ranges []Range, samples int, seed uint64) []Variant {
-	random := rand.New(rand.NewPCG(seed, 2))
+	rng := rand.New(rand.NewPCG(seed, 2))
 	variants := make([]Variant, samples)
 	for i := range variants {
 		variants[i] = base
 	}
 	for _, r := range ranges {
-		for i, stratum := range random.Perm(samples) {
-			position := (float64(stratum) + random.Float64()) / float64(samples)
+		for i, stratum := range rng.Perm(samples) {
+			position := (float64(stratum) + rng.Float64()) / float64(samples)
 			if len(r.Values) > 0 {
 				variants[i] = variants[i].withSetting(r.Key, r.Values[int(position*float64(len(r.Values)))])
 				continue
 			}
-			variants[i] = variants[i].withSetting(r.Key, strconv.FormatFloat(r.Low+position*(r.High-r.Low), 'f', 3, 64)+r.Unit)
+			variants[i] = variants[i].withSetting(r.Key,
+				strconv.FormatFloat(r.Low+position*(r.High-r.Low), 'f', 3, 64)+r.Unit)
 		}
 	}
 	return variants
--- a/internal/lab/stats.go
+++ b/internal/lab/stats.go
@@ -33,8 +33,9 @@
 		e.Deviation, e.Low, e.High = 0, math.Inf(-1), math.Inf(1)
 		return e
 	}
-	half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(e.N - 1)}.Quantile(0.975) * stat.StdErr(e.Deviation, float64(e.N))
-	e.Low, e.High = e.Mean-half, e.Mean+half
+	halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(e.N - 1)}.Quantile(0.975) *
+		stat.StdErr(e.Deviation, float64(e.N))
+	e.Low, e.High = e.Mean-halfWidth, e.Mean+halfWidth
 	return e
 }
 
@@ -62,15 +63,15 @@
 	return EstimateMean(differences)
 }
 
-// BootstrapInterval returns the 95% confidence interval of a statistic by resampling, for statistics that Student's t
-// distribution doesn't suit, such as percentiles. The seed determines the resampling.
+// BootstrapInterval returns the 95% confidence interval of a statistic by resampling. It is for statistics to which
+// Student's t distribution doesn't apply, such as percentiles. The seed determines the resampling.
 func BootstrapInterval(values []float64, statistic func([]float64) float64, seed uint64) (low, high float64) {
 	const resamples = 1000
-	random := rand.New(rand.NewPCG(seed, 1))
+	rng := rand.New(rand.NewPCG(seed, 1))
 	sample, results := make([]float64, len(values)), make([]float64, resamples)
 	for i := range results {
 		for j := range sample {
-			sample[j] = values[random.IntN(len(values))]
+			sample[j] = values[rng.IntN(len(values))]
 		}
 		results[i] = statistic(sample)
 	}
--- a/internal/lab/tables.go
+++ b/internal/lab/tables.go
@@ -119,7 +119,8 @@
 		case difference.ExcludesZero():
 			verdict = "A is better"
 		}
-		fmt.Fprintf(&out, "| %s | %s | %s | %s | %s |\n", f.Name, formatCell(EstimateMean(valuesA)), formatCell(EstimateMean(valuesB)), formatCell(difference), verdict)
+		fmt.Fprintf(&out, "| %s | %s | %s | %s | %s |\n", f.Name, formatCell(EstimateMean(valuesA)),
+			formatCell(EstimateMean(valuesB)), formatCell(difference), verdict)
 	}
 	return out.String()
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// accept answers a notice with 202 before its delivery, or with 400 if its headers are invalid. It answers health checks
-// (/up) with 200.
+// accept answers a notice with 202 before its delivery, or with 400 if its headers are invalid. It answers health
+// checks (/up) with 200.
 func (r *Relay) accept(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == "/up" {
 		return
@@ -176,8 +176,8 @@
 	}
 }
 
-// call makes one trip to the next ready receiver of the destination. It returns the status of the response, and an error
-// unless the status is 200.
+// call makes one trip to the next ready receiver of the destination. It returns the status of the response, and an
+// error unless the status is 200.
 func (r *Relay) call(ctx context.Context, callTimeout time.Duration, id, idempotencyKey string, destination int64,
 	body []byte) (int, error) {
 	r.mu.RLock()
