--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -17,20 +17,20 @@
 // The baselines: the policies of textbooks and libraries, for comparison only. They respect slots, trip limits and
 // at-most-once notices, and no other rule that the daemon follows.
 const (
-	OneTry    = "one-try"   // a single call for each notice
-	Immediate = "immediate" // retries without delay
-	Backoff   = "backoff"   // retries with exponential backoff and full jitter
-	Budget    = "budget"    // Backoff, with retries limited to a tenth of the first calls
-	Bucket    = "bucket"    // Backoff, and per destination a token bucket at this sender's share of its rate limit
-	Gradient  = "gradient"  // Backoff, and per destination a limit on calls in flight that adapts to latency
-	Breaker   = "breaker"   // Backoff, and per destination a circuit breaker with the rules of sony/gobreaker
-	Least     = "least"     // Backoff, to the receiver with the fewest calls in flight
-	Oracle    = "oracle"    // knows the active faults and each destination's capacity
+	OneTry        = "one-try"   // a single call for each notice
+	Immediate     = "immediate" // retries without delay
+	Backoff       = "backoff"   // retries with exponential backoff and full jitter
+	Budget        = "budget"    // Backoff, with retries limited to a tenth of the first calls
+	Bucket        = "bucket"    // Backoff, and per destination a token bucket at this sender's share of its rate limit
+	Gradient      = "gradient"  // Backoff, and per destination a limit on calls in flight that adapts to latency
+	Breaker       = "breaker"   // Backoff, and per destination a circuit breaker with the rules of sony/gobreaker
+	LeastInFlight = "least"     // Backoff, to the receiver with the fewest calls in flight
+	Oracle        = "oracle"    // knows the active faults and each destination's capacity
 )
 
 // Policies lists the names of the daemon's policy and of the baselines.
 func Policies() []string {
-	return []string{"ours", OneTry, Immediate, Backoff, Budget, Bucket, Gradient, Breaker, Least, Oracle}
+	return []string{"ours", OneTry, Immediate, Backoff, Budget, Bucket, Gradient, Breaker, LeastInFlight, Oracle}
 }
 
 // PolicyOf returns the policy with this name, for a scenario. The empty name means the daemon's policy.
@@ -342,7 +342,7 @@
 	}
 }
 
-// chooseReceiver returns the destination's next ready receiver in turn or, for Least, the one with the fewest calls in
+// chooseReceiver returns the destination's next ready receiver in turn or, for LeastInFlight, the one with the fewest calls in
 // flight. It returns nil if no receiver is ready.
 func (p *baseline) chooseReceiver(d *baselineDestination) *baselineReceiver {
 	var best *baselineReceiver
@@ -351,7 +351,7 @@
 		rc := d.receivers[(d.nextReceiver+i)%len(d.receivers)]
 		switch {
 		case !rc.ready:
-		case best == nil, p.policy == Least && rc.inFlight < best.inFlight:
+		case best == nil, p.policy == LeastInFlight && rc.inFlight < best.inFlight:
 			best = rc
 		}
 	}
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -81,14 +81,14 @@
 	All            results.Share   `json:"all"`
 	Grades         []results.Share `json:"grades"`
 	Well, Sick     results.Share   // of the destinations that work, and of those that fail (Options.IsFailing)
-	Submitted      int             `json:"handed"` // submissions
-	Accepted       int             `json:"taken"`  // submissions that were accepted
-	Refused        int             `json:"refused"`
-	Unanswered     int             `json:"unanswered"`
-	Dismissed      int             `json:"dismissed"`
-	BrokenOff      int             `json:"broken_off"`
-	Calls          int             `json:"calls"`
-	CallsFull      int             `json:"calls_full"`
+	Submitted      int             `json:"handed"`         // submissions
+	Accepted       int             `json:"taken"`          // submissions that were accepted
+	Refused        int             `json:"refused"`        // submissions that were refused
+	Unanswered     int             `json:"unanswered"`     // submissions without a response
+	Dismissed      int             `json:"dismissed"`      // accepted notices that were dismissed
+	BrokenOff      int             `json:"broken_off"`     // accepted notices that were broken off
+	Calls          int             `json:"calls"`          // calls that destinations received
+	CallsFull      int             `json:"calls_full"`     // of these, calls that were refused with 429 or 503
 	Further        int             `json:"further"`        // calls beyond the first for a submission
 	SecondEffects  int             `json:"second_effects"` // repeated effects of at-most-once notices
 	LocalShortages int             `json:"short"`          // calls not begun for lack of descriptors
