--- a/internal/model/outside.go
+++ b/internal/model/outside.go
@@ -49,7 +49,7 @@
 	sender                int
 	status                int
 	answeredAt            rules.Millis
-	settled               bool // answered, or its client has stopped waiting
+	answerHandled         bool // answered, or its client has stopped waiting
 	called                bool // written by the site: a gateway has read a call for it
 }
 
@@ -136,7 +136,7 @@
 	case evSubmissionAnswered:
 		c.handleAnswer(e.submission, int(e.value), e.payload.(rules.Millis))
 	case evAnswerTimeout:
-		if !e.submission.settled {
+		if !e.submission.answerHandled {
 			c.handleAnswer(e.submission, statusNoAnswer, 0)
 		}
 	case evOutcome:
@@ -187,10 +187,10 @@
 
 // handleAnswer handles a sender's answer, or the lack of one.
 func (c *client) handleAnswer(sub *submission, status int, retryAfter rules.Millis) {
-	if sub.settled {
+	if sub.answerHandled {
 		return
 	}
-	sub.settled = true
+	sub.answerHandled = true
 	if status > 0 {
 		sub.status, sub.answeredAt = status, c.now()
 	}
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -72,7 +72,7 @@
 	initialList                          rules.ListUpdated // the receiver list at the next start
 	deferredEvents                       []event           // events that arrived while the process was paused
 	events                               []rules.Event     // for the next turn
-	unanswered                           []*heldNotice     // accepted since the last turn, not yet answered
+	pendingAnswers                       []*heldNotice     // accepted since the last turn, not yet answered
 	notices                              map[rules.NoticeID]*heldNotice
 	lastID                               rules.NoticeID
 	turnDue                              bool // a turn is scheduled
@@ -82,7 +82,7 @@
 	inFlight                             callsByTimeout
 	timeoutCheckAt                       rules.Millis // time of the next scheduled timeout check
 	connLimit                            int          // maximum number of connections that the descriptors allow
-	usedCapacity                         float64      // sum of capacityOf over the notices; at most 1
+	usedCapacity                         float64      // sum of capacityOf over the notices without a final outcome; at most 1
 
 	listRecords    []audit.Listing
 	senderEvents   []audit.SenderEvent
@@ -118,7 +118,7 @@
 	}
 	s.alive, s.shuttingDown, s.sending, s.startedAt, s.turnDue = true, false, true, s.now(), false
 	s.decider = s.run.newDecider(senderSeed(s.run.Seed, s.number, s.startCount), settings, s.now())
-	s.events, s.unanswered = nil, nil
+	s.events, s.pendingAnswers = nil, nil
 	s.conns, s.idleConns, s.inFlight, s.timeoutCheckAt, s.usedCapacity = nil, map[rules.ReceiverID][]*conn{},
 		nil, never, 0
 	ids := make([]rules.NoticeID, 0, len(s.notices))
@@ -295,7 +295,7 @@
 		}
 		s.usedCapacity += s.capacityOf(notice)
 		s.notices[notice.id] = notice
-		s.unanswered = append(s.unanswered, notice)
+		s.pendingAnswers = append(s.pendingAnswers, notice)
 		s.queueEvent(s.acceptedEvent(notice))
 	}
 }
@@ -304,17 +304,17 @@
 func (s *sender) runTurn() {
 	s.turnDue, s.lastTurnAt = false, s.now()
 	s.counts.turns++
-	events, unanswered := s.events, s.unanswered
-	s.events, s.unanswered = nil, nil
+	events, pendingAnswers := s.events, s.pendingAnswers
+	s.events, s.pendingAnswers = nil, nil
 	if len(events) == 0 || !s.sending {
 		return
 	}
 	actions := s.decider.Decide(s.now()-s.startedAt, events)
 	var ended map[rules.NoticeID]rules.Action
-	if len(unanswered) > 0 {
+	if len(pendingAnswers) > 0 {
 		ended = rules.FinalAnswers(actions)
 	}
-	for _, h := range unanswered {
+	for _, h := range pendingAnswers {
 		status, retryAfter := 202, rules.Millis(0)
 		switch a := ended[h.id].(type) {
 		case rules.Dismiss:
@@ -663,12 +663,12 @@
 	for _, cn := range slices.Clone(s.conns) {
 		s.closeConn(cn)
 	}
-	for _, h := range s.unanswered { // the clients of these get no answer
+	for _, h := range s.pendingAnswers { // the clients of these get no answer
 		delete(s.notices, h.id)
 		s.post(clientNode, s.transitTime(), event{kind: evSubmissionAnswered, submission: h.submission,
 			value: statusNoAnswer, payload: rules.Millis(0)})
 	}
-	s.unanswered, s.events = nil, nil
+	s.pendingAnswers, s.events = nil, nil
 }
 
 // checkExit exits once no call is in flight, and at the latest when the time for the shutdown is over.
