--- a/cmd/chutelab/try.go
+++ b/cmd/chutelab/try.go
@@ -168,7 +168,7 @@
 // progress rewrites the progress line of a terminal.
 func progress(p trial.Progress) {
 	fmt.Fprintf(os.Stderr, "\r\x1b[K%5.1f of %.0f s  %d notices, %d open",
-		max(p.At/1000, 0), p.Length/1000, p.Offered, p.Open)
+		max(p.At/1000, 0), p.Length/1000, p.Submitted, p.Open)
 }
 
 // formatResult formats a run's result as one line.
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -48,8 +48,9 @@
 	// OnResponse is called with the status of each response, 0 if there was none, and the time since the intended
 	// submission.
 	OnResponse func(status int, took rules.Millis)
-	// Offered counts first submissions, and Late those of them that were more than 10 ms after their intended time.
-	Offered, Late atomic.Int64
+	// FirstSubmissions counts the effects submitted, and LateSubmissions those of them that were first submitted more
+	// than 10 ms after their intended time.
+	FirstSubmissions, LateSubmissions atomic.Int64
 	// HostileConnections counts the connections of hostile clients, and HostileUnanswered those that got neither an
 	// error response nor a close in time.
 	HostileConnections, HostileUnanswered atomic.Int64
@@ -108,9 +109,9 @@
 		if c.env.Instance.Settings.Grades[arrival.Grade].Repeat == rules.Numbered {
 			submitted.mark = "m" + submitted.name[1:]
 		}
-		c.Offered.Add(1)
+		c.FirstSubmissions.Add(1)
 		if c.env.Clock.Now() > arrival.At+10 {
-			c.Late.Add(1)
+			c.LateSubmissions.Add(1)
 		}
 		c.inFlight.Add(1)
 		go c.submit(submitted, arrival.At, false, "")
@@ -238,8 +239,8 @@
 	}()
 }
 
-// Ended handles a final outcome that the platform received. A dismissed notice may be submitted again.
-func (c *Clients) Ended(e directory.FinalOutcome) {
+// HandleOutcome handles a final outcome that the platform received. A dismissed notice may be submitted again.
+func (c *Clients) HandleOutcome(e directory.FinalOutcome) {
 	c.mu.Lock()
 	submitted := c.pending[e.Message]
 	delete(c.pending, e.Message)
--- a/internal/trial/double_test.go
+++ b/internal/trial/double_test.go
@@ -34,8 +34,8 @@
 	accepted     int
 }
 
-// destinationState limits the calls to one destination. None starts before waitUntil, which its receivers requested.
-// After a failed call, nextCall spaces out the calls until slowUntil.
+// destinationState limits the calls to one destination. None starts before waitUntil, the end of a wait that a receiver
+// requested, nor before nextCall, which spaces out the calls from a failed one until slowUntil.
 type destinationState struct {
 	waitUntil, slowUntil, nextCall time.Time
 }
@@ -126,7 +126,8 @@
 	}
 }
 
-// deliver makes trips until the notice is delivered or reports its final outcome.
+// deliver makes trips until the notice is delivered, or until no further trip is allowed. In that case it reports the
+// final outcome.
 func (s *testSender) deliver(notice *pendingNotice) {
 	defer close(notice.done)
 	if notice.previous != nil {
@@ -177,8 +178,8 @@
 	}
 }
 
-// choose returns the address of a receiver that may be called now, and false if there is none. After a failed call to
-// the destination it also delays the next one.
+// choose returns the address of a receiver that may be called now, and false if there is none. Until slowUntil it also
+// delays the next call to the destination.
 func (s *testSender) choose(notice *pendingNotice) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -53,7 +53,7 @@
 // Sender runs one sender of the scenario: a process, and those that replace it after a restart.
 type Sender struct {
 	number                             int
-	stage                              *standin.Environment
+	env                                *standin.Environment
 	start                              NewCommand
 	config                             config.Config
 	dir, configPath, stateDir, address string
@@ -75,9 +75,9 @@
 }
 
 // newSender prepares a sender's state directory and configuration; launch starts its process.
-func newSender(number int, stage *standin.Environment, start NewCommand, senderConfig config.Config,
+func newSender(number int, env *standin.Environment, start NewCommand, senderConfig config.Config,
 	dir string) (*Sender, error) {
-	s := &Sender{number: number, stage: stage, start: start, config: senderConfig, dir: dir,
+	s := &Sender{number: number, env: env, start: start, config: senderConfig, dir: dir,
 		address: senderConfig.Listen, exitsCleanly: true,
 		configPath: filepath.Join(dir, "config.json"), stateDir: filepath.Join(dir, "state")}
 	if err := os.MkdirAll(s.stateDir, 0o700); err != nil {
@@ -127,7 +127,7 @@
 		}
 		if !s.stopRequested {
 			s.problems = append(s.problems, fmt.Sprintf("sender %d exited unexpectedly at %.0f ms: %v\n%s", s.number,
-				s.stage.Clock.Now(), err, strings.Join(s.recentLog, "\n")))
+				s.env.Clock.Now(), err, strings.Join(s.recentLog, "\n")))
 		}
 		s.mu.Unlock()
 		close(exited)
@@ -145,7 +145,7 @@
 		}
 		response.Body.Close()
 		if response.StatusCode == 200 {
-			s.stage.Record.SenderChanged(audit.SenderEvent{Sender: s.number, What: "ready", At: s.stage.Clock.Now()})
+			s.env.Record.SenderChanged(audit.SenderEvent{Sender: s.number, What: "ready", At: s.env.Clock.Now()})
 			if rss, _, err := processUsage(command.Process.Pid); err == nil && s.startRSS == 0 {
 				s.startRSS = rss
 			}
@@ -193,7 +193,7 @@
 		}
 		if err == nil && line.Message == logs.Breaker {
 			s.breakerChanges = append(s.breakerChanges,
-				BreakerChange{s.stage.Clock.Now(), s.number, line.Destination, line.State, line.Why})
+				BreakerChange{s.env.Clock.Now(), s.number, line.Destination, line.State, line.Why})
 		}
 		s.mu.Unlock()
 	}
@@ -213,7 +213,7 @@
 
 // recordState notes a change of the sender's state in the audit record.
 func (s *Sender) recordState(state string) {
-	s.stage.Record.SenderChanged(audit.SenderEvent{Sender: s.number, What: state, At: s.stage.Clock.Now()})
+	s.env.Record.SenderChanged(audit.SenderEvent{Sender: s.number, What: state, At: s.env.Clock.Now()})
 }
 
 // kill ends the process with SIGKILL.
--- a/internal/trial/result.go
+++ b/internal/trial/result.go
@@ -60,12 +60,13 @@
 // result summarizes the run from the audit record and the measurements of the senders' processes.
 func (t *trial) result(responseTimes *hdrhistogram.Histogram, submitDuration time.Duration, cpuTime time.Duration,
 	endedAt rules.Millis) *Result {
-	world := t.stage.Instance
-	result := &Result{Scenario: world.Name, Seed: world.Seed, Senders: world.Senders, Seconds: submitDuration.Seconds(),
-		Answers: results.Summarize(responseTimes), LateSubmissions: int(t.clients.Late.Load()),
-		BadClients: int(t.clients.HostileConnections.Load()), Breaches: t.breaches(endedAt), Instance: world,
+	instance := t.env.Instance
+	result := &Result{Scenario: instance.Name, Seed: instance.Seed, Senders: instance.Senders,
+		Seconds: submitDuration.Seconds(), Answers: results.Summarize(responseTimes),
+		LateSubmissions: int(t.clients.LateSubmissions.Load()),
+		BadClients:      int(t.clients.HostileConnections.Load()), Breaches: t.breaches(endedAt), Instance: instance,
 		Held: t.heldSamples}
-	result.View = t.stage.Record.View()
+	result.View = t.env.Record.View()
 	result.Overloads = len(result.View.Overloads)
 	deliveredAt, effectCounts, called := map[string]rules.Millis{}, map[string]int{}, map[string]bool{}
 	submissions := map[string]*audit.Submission{}
@@ -86,7 +87,7 @@
 			result.Further++
 		}
 		called[call.ID] = true
-		if call.Ran && world.Settings.Grades[submission.Grade].Repeat == rules.AtMostOnce {
+		if call.Ran && instance.Settings.Grades[submission.Grade].Repeat == rules.AtMostOnce {
 			if effectCounts[submission.Effect]++; effectCounts[submission.Effect] > 1 {
 				result.SecondEffects++
 			}
@@ -96,8 +97,8 @@
 		}
 	}
 	all, healthy, failing := results.NewTally("all"), results.NewTally("well"), results.NewTally("sick")
-	grades := make([]*results.Tally, len(world.Names.Grades))
-	for i, name := range world.Names.Grades {
+	grades := make([]*results.Tally, len(instance.Names.Grades))
+	for i, name := range instance.Names.Grades {
 		grades[i] = results.NewTally(name)
 	}
 	counted, cpuNotices := map[string]bool{}, 0
@@ -120,9 +121,9 @@
 			cpuNotices++
 		}
 		at, wasDelivered := deliveredAt[submission.Effect]
-		maxCredit, earned := world.Settings.Grades[submission.Grade].Credit, 0.0
+		maxCredit, earned := instance.Settings.Grades[submission.Grade].Credit, 0.0
 		if wasDelivered {
-			earned = world.EarnedCredit(submission.Grade, at-submission.Intended)
+			earned = instance.EarnedCredit(submission.Grade, at-submission.Intended)
 		}
 		healthGroup := healthy
 		if t.isFailing(submission.Dest) {
@@ -169,7 +170,7 @@
 	if t.IsFailing != nil {
 		return t.IsFailing(destination)
 	}
-	return len(t.stage.Instance.Destinations[destination-1].Faults) > 0
+	return len(t.env.Instance.Destinations[destination-1].Faults) > 0
 }
 
 // Clean reports whether the run had no breaches.
@@ -190,10 +191,10 @@
 	}
 	table.Flush()
 	fmt.Fprintf(out,
-		"\nhand-ins %d: taken %d, refused %d, unanswered %d; of those taken, dismissed %d, broken off %d\n",
+		"\nsubmissions %d: accepted %d, refused %d, unanswered %d; of those accepted, dismissed %d, broken off %d\n",
 		r.Submitted, r.Accepted, r.Refused, r.Unanswered, r.Dismissed, r.BrokenOff)
 	fmt.Fprintf(out,
-		"calls %d, turned away %d, %d of them further calls for a notice; second effects of at-most-once notices %d\n",
+		"calls %d, rejected with 429 or 503 %d, beyond the first of a notice %d; second effects of at-most-once notices %d\n",
 		r.Calls, r.CallsFull, r.Further, r.SecondEffects)
 	fmt.Fprintf(out,
 		"answers to clients p50 %.1f ms, p99 %.1f ms; CPU %.0f us a notice, at most %.1f MB and %d descriptors a sender\n",
@@ -202,7 +203,7 @@
 		fmt.Fprintf(out, "bad clients' connections %d\n", r.BadClients)
 	}
 	if r.LateSubmissions > 0 {
-		fmt.Fprintf(out, "%d notices were handed in over 10 ms late: this machine is too busy\n", r.LateSubmissions)
+		fmt.Fprintf(out, "%d notices were submitted over 10 ms late: this machine is too busy\n", r.LateSubmissions)
 	}
 	for i, fault := range r.Instance.Faults {
 		if i == 0 {
--- a/internal/trial/sick.go
+++ b/internal/trial/sick.go
@@ -10,7 +10,7 @@
 // FailureImpact measures what the failing destinations of a run cost the senders and the healthy destinations.
 type FailureImpact struct {
 	At         []rules.Millis `json:"at"`          // times of the samples
-	SlotsShare []float64      `json:"slots_share"` // part of all slots that calls to failing destinations hold, by At
+	SlotsShare []float64      `json:"slots_share"` // share of all slots that calls to failing destinations hold, by At
 	MostSlots  float64        `json:"most_slots"`  // highest of SlotsShare
 	Further    float64        `json:"further"`     // calls beyond each notice's first, for each wanted notice
 	// Load is the number of calls that reached failing destinations within loadWindow, relative to the mean number of
@@ -19,14 +19,14 @@
 	MostLoad float64   `json:"most_load"` // highest of Load
 }
 
-// loadWindow is the duration in milliseconds over which the load of failing destinations is counted. Over a shorter
-// duration random variation produces peaks.
+// loadWindow is the duration in milliseconds over which the calls to failing destinations are counted. Over a shorter
+// one, random variation produces peaks in the load.
 const loadWindow = 500
 
-// FailureImpact computes what the destinations for which failing returns true cost. The slots that they hold are the
-// outstanding calls that the senders report, less the calls that healthy gateways saw open at that time. The failing
-// gateways cannot count their own, because a connection that is never established does not reach them. For a program
-// that reports no outstanding calls, the share is 0.
+// FailureImpact measures the cost of the destinations for which failing returns true. The slots that they hold are the
+// outstanding calls that the senders report, less the calls in progress at the gateways of healthy destinations. The
+// gateways of failing destinations cannot count these slots: a connection that is never established does not reach
+// them. For a program that reports no outstanding calls, the share is 0.
 func (r *Result) FailureImpact(failing func(destination int) bool) FailureImpact {
 	var impact FailureImpact
 	var healthyStarts, failingStarts []rules.Millis // starts of calls at healthy destinations; starts at failing ones
--- a/internal/trial/soak_test.go
+++ b/internal/trial/soak_test.go
@@ -30,39 +30,39 @@
 // requested waits.
 func soakScenario(t *testing.T, seed uint64) *scenario.Scenario {
 	t.Helper()
-	sc, err := scenario.Load("brief")
+	drawn, err := scenario.Load("brief")
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc.Seed = seed
-	scenario.Mix(sc)
-	sc.Names.ConnectTime = soakConnectTime
+	drawn.Seed = seed
+	scenario.Mix(drawn)
+	drawn.Names.ConnectTime = soakConnectTime
 	random := scenario.NewRand(seed, 1<<45)
 	// Slow calls make the sender open more connections, and a lowered limit makes the gateway request waits while these
 	// are being established.
-	sc.Faults = append(sc.Faults,
-		scenario.Fault{Kind: scenario.Slow, Group: soakSlowConnectGroup, For: sc.Length, Part: 1, Share: 0.7, Size: 25,
-			Period: 1000},
-		scenario.Fault{Kind: scenario.LowLimit, Group: soakSlowConnectGroup, For: sc.Length, Part: 1, Share: 1,
+	drawn.Faults = append(drawn.Faults,
+		scenario.Fault{Kind: scenario.Slow, Group: soakSlowConnectGroup, For: drawn.Length, Part: 1, Share: 0.7,
+			Size: 25, Period: 1000},
+		scenario.Fault{Kind: scenario.LowLimit, Group: soakSlowConnectGroup, For: drawn.Length, Part: 1, Share: 1,
 			Size: 0.3, Period: 1000})
 	for range soakSlowConnectPeriods {
-		sc.Faults = append(sc.Faults, scenario.Fault{Kind: scenario.NeverUp, Group: soakSlowConnectGroup,
-			At: sc.Length * rules.Millis(0.02+0.7*random.Float64()), For: soakSlowConnectDuration, Part: 1, Share: 1,
+		drawn.Faults = append(drawn.Faults, scenario.Fault{Kind: scenario.NeverUp, Group: soakSlowConnectGroup,
+			At: drawn.Length * rules.Millis(0.02+0.7*random.Float64()), For: soakSlowConnectDuration, Part: 1, Share: 1,
 			Size: 1, Period: 1000})
 	}
 	if seed%soakHostileSeedInterval == 0 {
-		sc.Faults = append(sc.Faults, scenario.Fault{Kind: scenario.Hostile, At: sc.Length / 10, For: sc.Length / 2,
-			Part: 1, Share: 1, Size: soakHostileClients, Period: 1000})
+		drawn.Faults = append(drawn.Faults, scenario.Fault{Kind: scenario.Hostile, At: drawn.Length / 10,
+			For: drawn.Length / 2, Part: 1, Share: 1, Size: soakHostileClients, Period: 1000})
 	}
-	if !hasSenderFaults(sc) {
-		at := sc.Length * rules.Millis(0.2+0.3*random.Float64())
-		sc.Faults = append(sc.Faults,
+	if !hasSenderFaults(drawn) {
+		at := drawn.Length * rules.Millis(0.2+0.3*random.Float64())
+		drawn.Faults = append(drawn.Faults,
 			scenario.Fault{Kind: scenario.Reload, At: at, For: soakSignalInterval / 2, Part: 1, Share: 1, Size: 1,
 				Period: 1000},
 			scenario.Fault{Kind: scenario.Stop, At: at + soakSignalInterval, For: 100, Part: 0.5, Share: 1, Size: 1,
 				Period: 1000})
 	}
-	return sc
+	return drawn
 }
 
 // hasSenderFaults reports whether a fault of the scenario affects senders.
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -46,14 +46,14 @@
 // Progress reports how far a run has advanced.
 type Progress struct {
 	At, Length rules.Millis // current time and length of the scenario
-	Offered    int          // notices submitted
-	Open       int          // notices accepted that have no final outcome yet
+	Submitted  int          // notices submitted
+	Open       int          // accepted notices without a final answer
 }
 
 // Run runs a scenario. It returns an error only if the scenario could not be run; faults of the senders are breaches in
 // the result.
 func Run(ctx context.Context, options Options) (*Result, error) {
-	world := scenario.NewInstance(options.Scenario)
+	instance := scenario.NewInstance(options.Scenario)
 	dir := options.KeepDir
 	if dir == "" {
 		var err error
@@ -62,24 +62,24 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	stage := standin.NewEnvironment(world)
-	defer stage.Close()
-	gateways, err := standin.NewGateways(stage)
+	env := standin.NewEnvironment(instance)
+	defer env.Close()
+	gateways, err := standin.NewGateways(env)
 	if err != nil {
 		return nil, err
 	}
-	platform, err := standin.NewPlatform(stage, gateways, world.Senders)
+	platform, err := standin.NewPlatform(env, gateways, instance.Senders)
 	if err != nil {
 		return nil, err
 	}
 	if options.Prepare != nil {
-		options.Prepare(stage, gateways, platform)
+		options.Prepare(env, gateways, platform)
 	}
-	current := &trial{Options: options, stage: stage, platform: platform}
+	current := &trial{Options: options, env: env, platform: platform}
 	defer current.killAll()
 	var addresses []string
 	if len(options.Targets) > 0 {
-		if world.Senders = len(options.Targets); options.Platform == "" {
+		if instance.Senders = len(options.Targets); options.Platform == "" {
 			return nil, errors.New("targets are given, but not the platform address that they are configured with")
 		}
 		if err := platform.Listen(0, options.Platform); err != nil {
@@ -90,12 +90,12 @@
 			return nil, err
 		}
 	}
-	for i := range world.Senders - len(options.Targets) {
-		senderConfig := config.Config{Name: fmt.Sprintf("n%d", i), Listen: stage.UnusedAddress(),
+	for i := range instance.Senders - len(options.Targets) {
+		senderConfig := config.Config{Name: fmt.Sprintf("n%d", i), Listen: env.UnusedAddress(),
 			Discovery: platform.Address(i),
-			Seed:      scenario.NewRand(world.Seed, 1<<42+uint64(i)).Uint64(), Machine: world.Machine,
-			Settings: world.Settings, Names: world.Names}
-		sender, err := newSender(i, stage, options.Start, senderConfig, filepath.Join(dir, senderConfig.Name))
+			Seed:      scenario.NewRand(instance.Seed, 1<<42+uint64(i)).Uint64(), Machine: instance.Machine,
+			Settings: instance.Settings, Names: instance.Names}
+		sender, err := newSender(i, env, options.Start, senderConfig, filepath.Join(dir, senderConfig.Name))
 		if err != nil {
 			return nil, err
 		}
@@ -107,8 +107,8 @@
 			return nil, err
 		}
 	}
-	current.clients = standin.NewClients(stage, addresses)
-	platform.OnOutcome = func(_ int, e directory.FinalOutcome) { current.clients.Ended(e) }
+	current.clients = standin.NewClients(env, addresses)
+	platform.OnOutcome = func(_ int, e directory.FinalOutcome) { current.clients.HandleOutcome(e) }
 	responseTimes := hdrhistogram.New(1, 120_000_000, 3)
 	var responseTimesMu sync.Mutex
 	current.clients.OnResponse = func(status int, duration rules.Millis) {
@@ -118,14 +118,14 @@
 			responseTimes.RecordValue(max(int64(duration*1000), 1))
 		}
 	}
-	stopWatchingContext := context.AfterFunc(ctx, stage.Close)
+	stopWatchingContext := context.AfterFunc(ctx, env.Close)
 	defer stopWatchingContext()
 	current.uncountedCPU = current.cpuTime()
 	startedAt := time.Now()
-	stage.Clock.Start()
+	env.Clock.Start()
 	if options.CPUFrom > 0 {
 		go func() {
-			if stage.WaitUntil(options.CPUFrom) {
+			if env.WaitUntil(options.CPUFrom) {
 				current.mu.Lock()
 				defer current.mu.Unlock()
 				current.uncountedCPU = current.cpuTime()
@@ -135,21 +135,21 @@
 	monitorDone := make(chan struct{})
 	go func() { current.monitor(); close(monitorDone) }()
 	var faultScripts sync.WaitGroup
-	for i, fault := range world.Faults {
-		for _, number := range world.AffectedSenders[i] {
+	for i, fault := range instance.Faults {
+		for _, affected := range instance.AffectedSenders[i] {
 			faultScripts.Add(1)
-			go func() { defer faultScripts.Done(); current.applyFault(current.senders[number], fault) }()
+			go func() { defer faultScripts.Done(); current.applyFault(current.senders[affected], fault) }()
 		}
 	}
 	current.clients.Run()
 	submitDuration := time.Since(startedAt)
 	faultScripts.Wait()
-	for deadline := world.Length + world.Settle; stage.Clock.Now() < deadline &&
-		stage.Record.Unfinished() > 0 && ctx.Err() == nil; {
+	for deadline := instance.Length + instance.Settle; env.Clock.Now() < deadline &&
+		env.Record.Unfinished() > 0 && ctx.Err() == nil; {
 		time.Sleep(20 * time.Millisecond)
 	}
 	if ctx.Err() != nil {
-		return nil, fmt.Errorf("run scenario %q: %w", world.Name, ctx.Err())
+		return nil, fmt.Errorf("run scenario %q: %w", instance.Name, ctx.Err())
 	}
 	cpuTime := current.cpuTime()
 	for _, s := range current.senders {
@@ -167,8 +167,8 @@
 		}()
 	}
 	shutdowns.Wait()
-	endedAt := stage.Clock.Now()
-	stage.Close()
+	endedAt := env.Clock.Now()
+	env.Close()
 	<-monitorDone
 	responseTimesMu.Lock()
 	defer responseTimesMu.Unlock()
@@ -178,7 +178,7 @@
 // trial is the state of one run.
 type trial struct {
 	Options
-	stage       *standin.Environment
+	env         *standin.Environment
 	platform    *standin.Platform
 	clients     *standin.Clients
 	senders     []*Sender
@@ -191,8 +191,8 @@
 	peakFDs      int
 }
 
-// HeldSample is the number of notices that the senders held at a time, and the number of outstanding calls that they
-// reported in their counters.
+// HeldSample is, at one time, the number of accepted notices without a final answer, and the number of outstanding
+// calls that the senders reported in their counters.
 type HeldSample struct {
 	At          rules.Millis `json:"at"`
 	Open        int          `json:"open"`
@@ -230,7 +230,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	time.Sleep(500 * time.Millisecond) // the senders subscribe to the receiver list
+	time.Sleep(500 * time.Millisecond) // in which the senders subscribe to the receiver list
 	return nil
 }
 
@@ -259,8 +259,8 @@
 // monitor samples the senders' resource usage and counters and reports the progress, until the run ends.
 func (t *trial) monitor() {
 	for {
-		now := t.stage.Clock.Now()
-		open := t.stage.Record.Unfinished()
+		now := t.env.Clock.Now()
+		open := t.env.Record.Unfinished()
 		outstanding := 0
 		for _, s := range t.senders {
 			s.sampleUsage()
@@ -279,11 +279,11 @@
 			}
 		}
 		if t.Progress != nil {
-			t.Progress(Progress{now, t.stage.Instance.Length, int(t.clients.Offered.Load()), open})
+			t.Progress(Progress{now, t.env.Instance.Length, int(t.clients.FirstSubmissions.Load()), open})
 		}
 		deadline := time.Now().Add(250 * time.Millisecond)
 		for time.Now().Before(deadline) {
-			if t.stage.Ended() {
+			if t.env.Ended() {
 				return
 			}
 			time.Sleep(25 * time.Millisecond)
@@ -305,11 +305,11 @@
 			t.addError(err)
 		}
 	}
-	if !t.stage.WaitUntil(fault.Until()) {
+	if !t.env.WaitUntil(fault.Until()) {
 		return
 	}
-	// What the old process received, such as requested waits, no longer binds the sender from here on, although the new
-	// process is found ready only a little later.
+	// From here on the audit no longer holds the sender to what only the old process received, such as requested waits:
+	// the new process may make calls a little before launch finds it ready.
 	s.recordState("starting")
 	if err := s.launch(t.platform.List()); err != nil {
 		t.addError(err)
@@ -318,9 +318,9 @@
 	t.clients.MarkUp(s.number)
 }
 
-// applyFault waits for the time of a fault that affects a sender, and applies it until its end.
+// applyFault waits until a fault that affects a sender begins, and applies it until it ends.
 func (t *trial) applyFault(s *Sender, fault scenario.Fault) {
-	if !t.stage.WaitUntil(fault.At) {
+	if !t.env.WaitUntil(fault.At) {
 		return
 	}
 	switch fault.Kind {
@@ -329,14 +329,14 @@
 	case scenario.Freeze:
 		s.recordState("frozen")
 		s.signal(syscall.SIGSTOP)
-		t.stage.WaitUntil(fault.Until())
+		t.env.WaitUntil(fault.Until())
 		s.signal(syscall.SIGCONT)
 		s.recordState("going on")
 	case scenario.FewFiles:
 		if err := s.limitFiles(int(fault.Size)); err != nil {
 			t.addError(err)
 		}
-		t.stage.WaitUntil(fault.Until())
+		t.env.WaitUntil(fault.Until())
 		if err := s.limitFiles(-1); err != nil {
 			t.addError(err)
 		}
@@ -345,7 +345,7 @@
 			t.addError(err)
 		}
 		s.signal(syscall.SIGHUP)
-		t.stage.WaitUntil(fault.Until())
+		t.env.WaitUntil(fault.Until())
 		if err := t.platform.Listen(s.number, ""); err != nil {
 			t.addError(err)
 		}
@@ -360,7 +360,7 @@
 // breaches returns the breaches that the audit finds, and one for each problem of a sender, each error of the run, and
 // bad clients that were not handled in time.
 func (t *trial) breaches(endedAt rules.Millis) []audit.Breach {
-	found := t.stage.Record.Check(t.stage.Instance.Settings, audit.Usual, endedAt)
+	found := t.env.Record.Check(t.env.Instance.Settings, audit.Usual, endedAt)
 	for _, s := range t.senders {
 		s.mu.Lock()
 		for _, problem := range s.problems {
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -98,6 +98,7 @@
 // maxParallelRuns limits the scenarios that parallel tests run at once; more of them slow each other down.
 const maxParallelRuns = 3
 
+// runSlots holds one element for each test that runs a scenario.
 var runSlots = make(chan struct{}, maxParallelRuns)
 
 // runInParallel marks a test as parallel and waits until fewer than maxParallelRuns others run.
@@ -147,7 +148,8 @@
 				found[b.Rule]++
 			}
 			if rule >= 0 && found[rule] == 0 || rule < 0 && len(found) > 0 {
-				t.Errorf("found %v\n%s", found, audit.FormatBreaches(result.Breaches))
+				t.Errorf("breaches by rule: %v; expected some of the defect's rule, or none without a defect\n%s",
+					found, audit.FormatBreaches(result.Breaches))
 			}
 			if result.All.Asked < 300 {
 				t.Errorf("got %d notices, expected at least 300 for a meaningful run", result.All.Asked)
@@ -309,7 +311,8 @@
 			}
 			if result.All.Credit < c.minCredit || c.maxCredit > 0 && result.All.Credit > c.maxCredit ||
 				result.All.Asked < 300 {
-				t.Errorf("credit %.3f of %d notices is out of bounds", result.All.Credit, result.All.Asked)
+				t.Errorf("got credit %.3f of %d notices, expected a credit within the case's bounds and 300 notices",
+					result.All.Credit, result.All.Asked)
 			}
 		})
 	}
@@ -331,8 +334,8 @@
 		t.Error(audit.FormatBreaches(result.Breaches))
 	}
 	if result.Well.Credit < 0.99 || result.Well.Asked < 500 {
-		t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit,
-			result.Well.Asked)
+		t.Errorf("healthy destinations: got credit %.3f of %d notices, expected at least 0.99 of 500",
+			result.Well.Credit, result.Well.Asked)
 	}
 }
 
@@ -348,7 +351,7 @@
 				t.Fatal(err)
 			}
 			sc.Traffic.Rate, sc.Settings.Slots, sc.Length, sc.Settle = 100, 12, 5000, 6000
-			world := scenario.NewInstance(sc)
+			instance := scenario.NewInstance(sc)
 			result, err := Run(context.Background(), Options{Scenario: sc, Start: ServeCommand(program, "info")})
 			if err != nil {
 				t.Fatal(err)
@@ -356,15 +359,15 @@
 			if !result.Clean() {
 				t.Error(audit.FormatBreaches(result.Breaches))
 			}
-			impact := result.FailureImpact(func(d int) bool { return len(world.Destinations[d-1].Faults) > 0 })
+			impact := result.FailureImpact(func(d int) bool { return len(instance.Destinations[d-1].Faults) > 0 })
 			if result.Well.Credit < 0.99 || result.Well.Asked < 70 {
-				t.Errorf("healthy destinations: credit %.3f of %d notices is out of bounds", result.Well.Credit,
-					result.Well.Asked)
+				t.Errorf("healthy destinations: got credit %.3f of %d notices, expected at least 0.99 of 70",
+					result.Well.Credit, result.Well.Asked)
 			}
 			// Two more routes may each hold a call that is not overdue yet, and a gateway sees a call later than its
 			// sender starts it.
 			if impact.MostSlots > 0.75+3.0/12 || impact.Further > 0.1 {
-				t.Errorf("failing destinations held %.2f of the slots; %.3f further calls for each notice",
+				t.Errorf("failing destinations held %.2f of the slots, expected at most 1; %.3f further calls a notice, 0.1",
 					impact.MostSlots, impact.Further)
 			}
 		})
