--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -25,8 +25,8 @@
 	Crossing rules.Millis // a timeout and a response within this time of each other may cross on the way
 }
 
-// Usual holds the tolerances of the platform's own rules, for a machine that may be busy.
-var Usual = Tolerances{Slack: 50, Lost: 300, Restart: 1500, Drain: 1000, Wait: 100, Crossing: 250}
+// DefaultTolerances holds the tolerances of the platform's own rules, for a machine that may be busy.
+var DefaultTolerances = Tolerances{Slack: 50, Lost: 300, Restart: 1500, Drain: 1000, Wait: 100, Crossing: 250}
 
 // Rule is one of the six rules that a sender has to keep, or Other.
 type Rule int
@@ -76,16 +76,16 @@
 		callsByID: map[string][]*Call{}, outcomesByID: map[string][]FinalOutcome{},
 		byEffect: map[string][]*Submission{}}
 	for i := range c.Submissions {
-		h := &c.Submissions[i]
-		c.submissions[h.ID] = h
-		c.byEffect[h.Effect] = append(c.byEffect[h.Effect], h)
+		submission := &c.Submissions[i]
+		c.submissions[submission.ID] = submission
+		c.byEffect[submission.Effect] = append(c.byEffect[submission.Effect], submission)
 	}
 	slices.SortStableFunc(c.Calls, func(a, b Call) int { return cmp.Compare(a.First, b.First) })
 	for i := range c.Calls {
 		c.callsByID[c.Calls[i].ID] = append(c.callsByID[c.Calls[i].ID], &c.Calls[i])
 	}
-	for _, e := range c.Outcomes {
-		c.outcomesByID[e.ID] = append(c.outcomesByID[e.ID], e)
+	for _, outcome := range c.Outcomes {
+		c.outcomesByID[outcome.ID] = append(c.outcomesByID[outcome.ID], outcome)
 	}
 	c.checkUnknownCalls()
 	for i := range c.Submissions {
@@ -150,33 +150,33 @@
 				addEntry(call.Closed, "gateway: the connection closed during the call of %s", related.ID)
 			}
 		}
-		for _, e := range c.outcomesByID[related.ID] {
-			addEntry(e.At, "platform: %s %s, reported by sender %d", related.ID, e.Outcome, e.Sender)
+		for _, outcome := range c.outcomesByID[related.ID] {
+			addEntry(outcome.At, "platform: %s %s, reported by sender %d", related.ID, outcome.Outcome, outcome.Sender)
 		}
-		for _, l := range c.SenderEvents {
-			if l.Sender == related.Sender && l.At > related.At-1000 && l.At < related.Until+5000 {
-				addEntry(l.At, "sender %d %s", l.Sender, l.What)
+		for _, event := range c.SenderEvents {
+			if event.Sender == related.Sender && event.At > related.At-1000 && event.At < related.Until+5000 {
+				addEntry(event.At, "sender %d %s", event.Sender, event.What)
 			}
 		}
 	}
 	slices.SortStableFunc(entries, func(a, b entry) int { return cmp.Compare(a.at, b.at) })
 	var timeline []string
-	for _, l := range entries {
-		if len(timeline) == 0 || timeline[len(timeline)-1] != l.text {
-			timeline = append(timeline, l.text)
+	for _, current := range entries {
+		if len(timeline) == 0 || timeline[len(timeline)-1] != current.text {
+			timeline = append(timeline, current.text)
 		}
 	}
 	return timeline
 }
 
-// repeatNames names in story lines how notices of a grade may be repeated.
+// repeatNames holds the texts for how notices of a grade may be repeated.
 var repeatNames = map[rules.Repeat]string{rules.AtMostOnce: "at-most-once", rules.Numbered: "numbered",
 	rules.Reissuable: "reissuable"}
 
 // disrupted reports whether a sender was killed, told to leave, paused, resumed or started between two times.
 func (c *checker) disrupted(sender int, from, to rules.Millis) bool {
-	for _, l := range c.SenderEvents {
-		if l.Sender == sender && l.At >= from && l.At <= to {
+	for _, event := range c.SenderEvents {
+		if event.Sender == sender && event.At >= from && event.At <= to {
 			return true
 		}
 	}
@@ -184,21 +184,21 @@
 }
 
 // unavailable reports whether a sender was down or paused at a time, or became ready less than the restart tolerance
-// before it, and when it was ready again.
+// before it. readyAt is when it was ready again, or never.
 func (c *checker) unavailable(sender int, at rules.Millis) (unavailable bool, readyAt rules.Millis) {
-	for _, l := range c.SenderEvents {
-		if l.Sender != sender {
+	for _, event := range c.SenderEvents {
+		if event.Sender != sender {
 			continue
 		}
-		if l.What == "ready" || l.What == "going on" {
-			if l.At > at && unavailable {
-				return true, l.At
+		if event.What == "ready" || event.What == "going on" {
+			if event.At > at && unavailable {
+				return true, event.At
 			}
-			if unavailable = l.At+c.tolerances.Restart > at && l.At <= at &&
-				c.disruptedBefore(sender, l.At); unavailable {
-				readyAt = l.At
+			if unavailable = event.At+c.tolerances.Restart > at && event.At <= at &&
+				c.disruptedBefore(sender, event.At); unavailable {
+				readyAt = event.At
 			}
-		} else if l.At <= at {
+		} else if event.At <= at {
 			unavailable, readyAt = true, never
 		}
 	}
@@ -208,8 +208,8 @@
 // disruptedBefore reports whether a sender was unavailable before a time. This distinguishes a restart from the first
 // start.
 func (c *checker) disruptedBefore(sender int, before rules.Millis) bool {
-	for _, l := range c.SenderEvents {
-		if l.Sender == sender && l.At < before && l.What != "ready" {
+	for _, event := range c.SenderEvents {
+		if event.Sender == sender && event.At < before && event.What != "ready" {
 			return true
 		}
 	}
@@ -250,21 +250,21 @@
 		}
 		if call.responseSeen(c.tolerances.Crossing) {
 			seen = min(seen, call.Replied)
-			// An incomplete response with status 200 may belong to an earlier call, so the sender may also report a
-			// final outcome for its notice.
+			// A response that is incomplete or retractable may belong to an earlier call, so the sender may also report
+			// a final outcome for its notice.
 			if !call.Malformed && !call.Unfinished && !call.retractable(c.settings.OverloadTime+c.tolerances.Crossing) {
 				complete = min(complete, call.Replied)
 			}
 		}
 	}
 	endedAt, outcome := never, ""
-	for _, e := range c.outcomesByID[submission.ID] {
+	for _, reported := range c.outcomesByID[submission.ID] {
 		switch {
 		case outcome == "":
-			endedAt, outcome = e.At, e.Outcome
-		case e.Outcome != outcome:
-			c.report(Lost, submission.ID, "has two final outcomes, %s and %s", outcome, e.Outcome)
-		case !c.disrupted(submission.Sender, endedAt-c.tolerances.Crossing, e.At+c.tolerances.Slack):
+			endedAt, outcome = reported.At, reported.Outcome
+		case reported.Outcome != outcome:
+			c.report(Lost, submission.ID, "has two final outcomes, %s and %s", outcome, reported.Outcome)
+		case !c.disrupted(submission.Sender, endedAt-c.tolerances.Crossing, reported.At+c.tolerances.Slack):
 			c.report(Lost, submission.ID, "had its final outcome reported twice")
 		}
 	}
@@ -298,12 +298,12 @@
 }
 
 // outcomeAcceptedBy returns by when the platform has accepted a final outcome that was first reported at a time.
-// Reports that it refuses are repeated after little more than a second, so each refusal after the time since extends
-// the limit.
+// The sender repeats a refused report after little more than a second, so each refusal after the time since extends the
+// limit.
 func (c *checker) outcomeAcceptedBy(sender int, since, reported rules.Millis) rules.Millis {
-	for _, s := range c.RefusedReports {
-		if s.Sender == sender && s.At > since && s.At <= reported {
-			reported = max(reported, s.At+c.tolerances.Restart)
+	for _, refused := range c.RefusedReports {
+		if refused.Sender == sender && refused.At > since && refused.At <= reported {
+			reported = max(reported, refused.At+c.tolerances.Restart)
 		}
 	}
 	return reported
@@ -339,8 +339,8 @@
 			firstMayHaveRun = call.First
 		}
 	}
-	for _, e := range c.outcomesByID[submission.ID] {
-		if e.Outcome == "handed_back" && firstMayHaveRun < never && grade.Repeat == rules.AtMostOnce {
+	for _, outcome := range c.outcomesByID[submission.ID] {
+		if outcome.Outcome == "handed_back" && firstMayHaveRun < never && grade.Repeat == rules.AtMostOnce {
 			c.report(Twice, submission.ID, "was dismissed though it may have run")
 		}
 	}
@@ -349,12 +349,13 @@
 // checkEffects checks that an at-most-once effect happens once, counted over all its submissions.
 func (c *checker) checkEffects() {
 	for i := range c.Submissions {
-		h := &c.Submissions[i]
-		if c.byEffect[h.Effect][0] != h || c.settings.Grades[h.Grade].Repeat != rules.AtMostOnce {
+		submission := &c.Submissions[i]
+		if c.byEffect[submission.Effect][0] != submission ||
+			c.settings.Grades[submission.Grade].Repeat != rules.AtMostOnce {
 			continue
 		}
 		effects := 0
-		for _, other := range c.byEffect[h.Effect] {
+		for _, other := range c.byEffect[submission.Effect] {
 			for _, call := range c.callsByID[other.ID] {
 				if call.Ran {
 					effects++
@@ -362,7 +363,7 @@
 			}
 		}
 		if effects > 1 {
-			c.report(Twice, h.ID, "took effect %d times", effects)
+			c.report(Twice, submission.ID, "took effect %d times", effects)
 		}
 	}
 }
@@ -374,25 +375,25 @@
 		sender   int
 	}
 	unusableSince := map[receiverOfSender]rules.Millis{}
-	for _, t := range c.Listings {
-		key := receiverOfSender{t.Receiver, t.Sender}
-		if t.Status == "ready" {
+	for _, listing := range c.Listings {
+		key := receiverOfSender{listing.Receiver, listing.Sender}
+		if listing.Status == "ready" {
 			delete(unusableSince, key)
 		} else if _, before := unusableSince[key]; !before {
-			unusableSince[key] = t.At
+			unusableSince[key] = listing.At
 		}
 	}
 	for i := range c.Calls {
 		call := &c.Calls[i]
-		h := c.submissions[call.ID]
-		if h == nil {
+		submission := c.submissions[call.ID]
+		if submission == nil {
 			continue
 		}
-		if at, unusable := unusableSince[receiverOfSender{call.Receiver, h.Sender}]; unusable &&
+		if at, unusable := unusableSince[receiverOfSender{call.Receiver, submission.Sender}]; unusable &&
 			call.First > at+c.tolerances.Drain+c.tolerances.Slack {
 			c.report(Drains, call.ID,
 				"was called at %s %.0f ms after sender %d was told that the receiver is draining or gone",
-				call.Receiver, call.First-at, h.Sender)
+				call.Receiver, call.First-at, submission.Sender)
 		}
 	}
 }
@@ -400,31 +401,31 @@
 // checkReturns checks that no destination is overloaded on its return from an outage mainly by senders that knew of the
 // outage: those that had seen it must have made fewer than two thirds of the calls.
 func (c *checker) checkReturns() {
-	for _, f := range c.Overloads {
+	for _, overload := range c.Overloads {
 		total, forewarned := 0, 0
-		for sender, n := range f.By {
-			if total += n; f.SawOutage[sender] {
-				forewarned += n
+		for sender, calls := range overload.By {
+			if total += calls; overload.SawOutage[sender] {
+				forewarned += calls
 			}
 		}
 		if 3*forewarned >= 2*total {
 			c.breaches = append(c.breaches, Breach{Returns, "", fmt.Sprintf("destination %d was overloaded on its "+
-				"return at %.0f ms by %d calls, %d of them from senders that had seen its outage", f.Dest, f.At, total,
-				forewarned), nil})
+				"return at %.0f ms by %d calls, %d of them from senders that had seen its outage", overload.Dest, overload.At,
+				total, forewarned), nil})
 		}
 	}
 }
 
-// checkOrder checks that ordered notices of one key are sent one at a time, in the order in which a sender accepted
-// them.
+// checkOrder checks that each sender calls for the ordered notices of a key one at a time, in the order in which it
+// accepted them.
 func (c *checker) checkOrder() {
 	type keyOfSender struct{ sender, key int }
 	queues := map[keyOfSender][]*Submission{}
 	for i := range c.Submissions {
-		h := &c.Submissions[i]
-		if h.Key != 0 && h.Accepted() && c.settings.Grades[h.Grade].InOrder {
-			key := keyOfSender{h.Sender, h.Key}
-			queues[key] = append(queues[key], h)
+		submission := &c.Submissions[i]
+		if submission.Key != 0 && submission.Accepted() && c.settings.Grades[submission.Grade].InOrder {
+			key := keyOfSender{submission.Sender, submission.Key}
+			queues[key] = append(queues[key], submission)
 		}
 	}
 	for _, queue := range queues {
@@ -459,11 +460,11 @@
 	}
 	callsByRoute := map[routeOfSender][]*Call{}
 	routeOf := func(call *Call) (routeOfSender, bool) {
-		h := c.submissions[call.ID]
-		if h == nil {
+		submission := c.submissions[call.ID]
+		if submission == nil {
 			return routeOfSender{}, false
 		}
-		route := routeOfSender{sender: h.Sender, dest: call.Dest}
+		route := routeOfSender{sender: submission.Sender, dest: call.Dest}
 		if call.SeparateRoutes {
 			route.receiver = call.Receiver
 		}
@@ -500,17 +501,17 @@
 // FormatBreaches formats breaches: the first two of each rule in full, and the number of breaches of a rule that has
 // more.
 func FormatBreaches(breaches []Breach) string {
-	var b strings.Builder
+	var text strings.Builder
 	counts := map[Rule]int{}
 	for _, breach := range breaches {
 		if counts[breach.Rule]++; counts[breach.Rule] <= 2 {
-			fmt.Fprintln(&b, breach)
+			fmt.Fprintln(&text, breach)
 		}
 	}
 	for rule := Other; rule <= Waits; rule++ {
 		if counts[rule] > 2 {
-			fmt.Fprintf(&b, "rule %v: %d breaches in all\n", rule, counts[rule])
+			fmt.Fprintf(&text, "rule %v: %d breaches in all\n", rule, counts[rule])
 		}
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/audit/check_test.go
+++ b/internal/audit/check_test.go
@@ -21,16 +21,16 @@
 		"first call on one that ended later": {ended: 3400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := NewRecord()
-			r.Submitted(Submission{ID: "a", At: 900, Until: 9000})
-			r.Answered("a", 202, 901)
-			r.Call(Call{ID: "a", First: 1000, Last: 1000, EarlierCalls: c.before, Ran: true,
+			record := NewRecord()
+			record.Submitted(Submission{ID: "a", At: 900, Until: 9000})
+			record.Answered("a", 202, 901)
+			record.Call(Call{ID: "a", First: 1000, Last: 1000, EarlierCalls: c.before, Ran: true,
 				Status: 200, Delivered: true, Replied: 1100, ConnectionEnded: c.ended})
-			r.Outcome(FinalOutcome{ID: "a", Outcome: "given_up", At: 3500})
-			breaches := r.Check(rules.Settings{OverloadTime: 2000, Grades: []rules.Grade{{}}, TripLimit: 1}, Usual,
-				9999)
+			record.Outcome(FinalOutcome{ID: "a", Outcome: "given_up", At: 3500})
+			breaches := record.Check(rules.Settings{OverloadTime: 2000, Grades: []rules.Grade{{}}, TripLimit: 1},
+				DefaultTolerances, 9999)
 			if allowed := len(breaches) == 0; allowed != c.allowed {
-				t.Errorf("allowed %v: %v", allowed, breaches)
+				t.Errorf("got allowed %v, expected the opposite; breaches: %v", allowed, breaches)
 			}
 		})
 	}
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -25,15 +25,15 @@
 }
 
 // Accepted reports whether the sender accepted the notice.
-func (h *Submission) Accepted() bool { return h.Status == 202 || h.Status == 200 }
+func (s *Submission) Accepted() bool { return s.Status == 202 || s.Status == 200 }
 
-// Call is a call that reached a gateway completely, or that the gateway cut off.
+// Call is a call that a gateway received, completely or until the gateway reset its connection.
 type Call struct {
 	ID, Receiver, Mark string
 	Dest               int
 	SeparateRoutes     bool         // the destination's receivers are separate routes
 	First, Last        rules.Millis // times of its first and last byte
-	Unread             bool         // the gateway did not read it completely, or lost it unseen
+	Unread             bool         // the gateway did not read it completely, or lost it before handling it
 	Ran                bool         // it took effect
 	Status             int          // of the response; 0: none
 	Malformed          bool         // the response is malformed and cannot be read to its end
@@ -131,9 +131,9 @@
 	return &Record{submissions: map[string]*Submission{}, finished: map[string]bool{}}
 }
 
-// finish records that a notice has its final answer.
+// finish records that a notice has its final answer. The caller holds r.mu.
 func (r *Record) finish(id string) {
-	if h := r.submissions[id]; h != nil && h.Accepted() && !r.finished[id] {
+	if submission := r.submissions[id]; submission != nil && submission.Accepted() && !r.finished[id] {
 		r.unfinished--
 	}
 	r.finished[id] = true
@@ -151,9 +151,9 @@
 func (r *Record) Answered(id string, status int, at rules.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h := r.submissions[id]; h != nil {
-		h.Status, h.Answered = status, at
-		if h.Accepted() && !r.finished[id] {
+	if submission := r.submissions[id]; submission != nil {
+		submission.Status, submission.Answered = status, at
+		if submission.Accepted() && !r.finished[id] {
 			r.unfinished++
 		}
 	}
@@ -163,8 +163,8 @@
 func (r *Record) SubmissionOf(id string) (Submission, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h := r.submissions[id]; h != nil {
-		return *h, true
+	if submission := r.submissions[id]; submission != nil {
+		return *submission, true
 	}
 	return Submission{}, false
 }
@@ -187,39 +187,39 @@
 }
 
 // Outcome records a final outcome that the platform accepted.
-func (r *Record) Outcome(e FinalOutcome) {
+func (r *Record) Outcome(outcome FinalOutcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outcomes = append(r.outcomes, e)
-	r.finish(e.ID)
+	r.outcomes = append(r.outcomes, outcome)
+	r.finish(outcome.ID)
 }
 
 // Listed records a receiver's status in a list that was sent to a sender.
-func (r *Record) Listed(t Listing) {
+func (r *Record) Listed(listing Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.listings = append(r.listings, t)
+	r.listings = append(r.listings, listing)
 }
 
 // SenderChanged records a change of a sender's process state.
-func (r *Record) SenderChanged(l SenderEvent) {
+func (r *Record) SenderChanged(event SenderEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.senderEvents = append(r.senderEvents, l)
+	r.senderEvents = append(r.senderEvents, event)
 }
 
 // ReportRefused records that the platform refused a report of final outcomes.
-func (r *Record) ReportRefused(s RefusedReport) {
+func (r *Record) ReportRefused(report RefusedReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refusedReports = append(r.refusedReports, s)
+	r.refusedReports = append(r.refusedReports, report)
 }
 
 // Overloaded records that a destination was overloaded on its return from an outage.
-func (r *Record) Overloaded(f Overload) {
+func (r *Record) Overloaded(overload Overload) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.overloads = append(r.overloads, f)
+	r.overloads = append(r.overloads, overload)
 }
 
 // View is a copy of a record, each list in the order of recording.
@@ -237,16 +237,16 @@
 func (r *Record) View() View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := View{Outcomes: append([]FinalOutcome(nil), r.outcomes...), Listings: append([]Listing(nil), r.listings...),
+	view := View{Outcomes: append([]FinalOutcome(nil), r.outcomes...), Listings: append([]Listing(nil), r.listings...),
 		SenderEvents: append([]SenderEvent(nil), r.senderEvents...), Overloads: append([]Overload(nil), r.overloads...),
 		RefusedReports: append([]RefusedReport(nil), r.refusedReports...)}
-	for _, h := range r.submissionOrder {
-		v.Submissions = append(v.Submissions, *h)
+	for _, submission := range r.submissionOrder {
+		view.Submissions = append(view.Submissions, *submission)
 	}
 	for _, c := range r.calls {
-		v.Calls = append(v.Calls, *c)
+		view.Calls = append(view.Calls, *c)
 	}
-	return v
+	return view
 }
 
 // Unfinished returns the number of accepted notices without a final answer.
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -360,7 +360,7 @@
 // breaches returns the breaches that the audit finds, and one for each problem of a sender, each error of the run, and
 // bad clients that were not handled in time.
 func (t *trial) breaches(endedAt rules.Millis) []audit.Breach {
-	found := t.env.Record.Check(t.env.Instance.Settings, audit.Usual, endedAt)
+	found := t.env.Record.Check(t.env.Instance.Settings, audit.DefaultTolerances, endedAt)
 	for _, s := range t.senders {
 		s.mu.Lock()
 		for _, problem := range s.problems {
