--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -45,8 +45,8 @@
 	random  *rand.Rand
 	pending map[string]*effect // by the ID of the last submission: effects that may be submitted again
 
-	// OnResponse is called with the status of each response, 0 if there was none, and the time since the intended
-	// submission.
+	// OnResponse, if set, is called after each submission with the status of the response, 0 if there was none, and the
+	// time since the intended submission.
 	OnResponse func(status int, took rules.Millis)
 	// FirstSubmissions counts the effects submitted, and LateSubmissions those of them that were first submitted more
 	// than 10 ms after their intended time.
@@ -136,20 +136,20 @@
 // chooseSender picks senders in turn, except those known to be down. A sender that is leaving is used as long as there
 // is an idle connection to it.
 func (c *Clients) chooseSender() int {
-	n := len(c.addresses)
+	senderCount := len(c.addresses)
 	first := int(c.next.Add(1))
 	now := int64(c.env.Clock.Now())
-	for i := range n {
-		sender := (first + i) % n
+	for i := range senderCount {
+		sender := (first + i) % senderCount
 		if now >= c.usableFrom[sender].Load() || c.leaving[sender].Load() && c.pools[sender].hasIdle() {
 			return sender
 		}
 	}
-	return first % n
+	return first % senderCount
 }
 
-// MarkLeaving marks a sender that was told to shut down. The load balancer detects it like one that is down, and open
-// connections to it stay in use.
+// MarkLeaving marks a sender that was told to shut down. As with MarkDown, the load balancer stops choosing it once it
+// detects that, but open connections to it stay in use.
 func (c *Clients) MarkLeaving(sender int) {
 	c.leaving[sender].Store(true)
 	c.MarkDown(sender)
@@ -173,25 +173,25 @@
 	c.usableFrom[sender].Store(0)
 }
 
-// submit submits an effect to a sender, and again later if the response allows it. intended is the time at which this
-// submission should have been made, and retry the value of the Client-Retry header, empty for none.
-func (c *Clients) submit(e *effect, intended rules.Millis, resubmitted bool, retry string) {
+// submit submits an effect to a sender, and arranges a further submission if the response allows one. intended is the
+// time at which this submission should be made, and retry the value of the Client-Retry header, empty for none.
+func (c *Clients) submit(toSubmit *effect, intended rules.Millis, resubmitted bool, retry string) {
 	defer c.inFlight.Done()
-	w, now := c.env.Instance, c.env.Clock.Now()
-	remaining := e.firstAt + w.Settings.Grades[e.Grade].ClientTimeout - now
+	instance, now := c.env.Instance, c.env.Clock.Now()
+	remaining := toSubmit.firstAt + instance.Settings.Grades[toSubmit.Grade].ClientTimeout - now
 	if remaining < 1 {
 		return
 	}
 	sender := c.chooseSender()
-	id := fmt.Sprintf("n%d-%s", c.lastNumber.Add(1), e.name)
+	id := fmt.Sprintf("n%d-%s", c.lastNumber.Add(1), toSubmit.name)
 	// The submission is recorded before the sender can receive its ID.
-	c.env.Record.Submitted(audit.Submission{ID: id, Effect: e.name, Mark: e.mark, Grade: e.Grade,
-		Portfolio: e.Portfolio, Key: e.Key, Dest: e.Destination, Sender: sender, At: now, Until: now + remaining,
-		Intended: e.firstAt, Resubmitted: resubmitted})
+	c.env.Record.Submitted(audit.Submission{ID: id, Effect: toSubmit.name, Mark: toSubmit.mark, Grade: toSubmit.Grade,
+		Portfolio: toSubmit.Portfolio, Key: toSubmit.Key, Dest: toSubmit.Destination, Sender: sender, At: now,
+		Until: now + remaining, Intended: toSubmit.firstAt, Resubmitted: resubmitted})
 	c.mu.Lock()
-	c.pending[id] = e
+	c.pending[id] = toSubmit
 	c.mu.Unlock()
-	status, retryAfter, sent := c.exchange(sender, e, id, remaining, retry)
+	status, retryAfter, sent := c.exchange(sender, toSubmit, id, remaining, retry)
 	at := c.env.Clock.Now()
 	if c.OnResponse != nil {
 		c.OnResponse(status, at-intended)
@@ -203,15 +203,15 @@
 	case status == 202 || status == 200:
 		return
 	case status == 429 || status == 503:
-		c.resubmit(id, e, max(retryAfter, 20), "1")
-	case status == 0 && (!sent || w.Settings.Grades[e.Grade].Repeat != rules.AtMostOnce):
+		c.resubmit(id, toSubmit, max(retryAfter, 20), "1")
+	case status == 0 && (!sent || instance.Settings.Grades[toSubmit.Grade].Repeat != rules.AtMostOnce):
 		// The sender may not have received it. An at-most-once effect is submitted again only if no sender can have
 		// read it.
 		clientRetry := "again"
 		if !sent {
 			clientRetry = ""
 		}
-		c.resubmit(id, e, 100, clientRetry)
+		c.resubmit(id, toSubmit, 100, clientRetry)
 	}
 	c.mu.Lock()
 	delete(c.pending, id)
@@ -219,14 +219,14 @@
 }
 
 // resubmit submits an effect once more after a delay, if its client chooses to and the client timeout allows it.
-func (c *Clients) resubmit(id string, e *effect, after rules.Millis, retry string) {
-	w := c.env.Instance
+func (c *Clients) resubmit(id string, toSubmit *effect, after rules.Millis, retry string) {
+	instance := c.env.Instance
 	c.mu.Lock()
-	retries := c.random.Float64() < w.Traffic.ResubmitShare
+	retries := c.random.Float64() < instance.Traffic.ResubmitShare
 	delete(c.pending, id)
 	c.mu.Unlock()
 	at := c.env.Clock.Now() + after
-	if !retries || at >= e.firstAt+w.Settings.Grades[e.Grade].ClientTimeout {
+	if !retries || at >= toSubmit.firstAt+instance.Settings.Grades[toSubmit.Grade].ClientTimeout {
 		return
 	}
 	c.inFlight.Add(1)
@@ -235,18 +235,18 @@
 			c.inFlight.Done()
 			return
 		}
-		c.submit(e, at, true, retry)
+		c.submit(toSubmit, at, true, retry)
 	}()
 }
 
 // HandleOutcome handles a final outcome that the platform received. A dismissed notice may be submitted again.
-func (c *Clients) HandleOutcome(e directory.FinalOutcome) {
+func (c *Clients) HandleOutcome(outcome directory.FinalOutcome) {
 	c.mu.Lock()
-	submitted := c.pending[e.Message]
-	delete(c.pending, e.Message)
+	submitted := c.pending[outcome.Message]
+	delete(c.pending, outcome.Message)
 	c.mu.Unlock()
-	if submitted != nil && e.Outcome == directory.HandedBack {
-		c.resubmit(e.Message, submitted, max(rules.Millis(e.RetryInMS), 20), "1")
+	if submitted != nil && outcome.Outcome == directory.HandedBack {
+		c.resubmit(outcome.Message, submitted, max(rules.Millis(outcome.RetryInMS), 20), "1")
 	}
 }
 
@@ -257,27 +257,28 @@
 	return len(p.idle) > 0
 }
 
-// take removes the most recently used connection and returns it, or nil. It closes those that have been idle for 1.5 s.
+// take removes the most recently used connection and returns it. If that one has been idle for 1.5 s, it closes all of
+// them and returns nil.
 func (p *pool) take() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
-		l := p.idle[len(p.idle)-1]
+		conn := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if time.Since(l.lastUsed) < 1500*time.Millisecond {
-			return l
+		if time.Since(conn.lastUsed) < 1500*time.Millisecond {
+			return conn
 		}
-		l.Close()
+		conn.Close()
 	}
 	return nil
 }
 
 // put adds a connection that has become idle, and closes those that have been idle for longer than 1.5 s.
-func (p *pool) put(l *clientConn) {
-	l.lastUsed = time.Now()
+func (p *pool) put(conn *clientConn) {
+	conn.lastUsed = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idle = append(p.idle, l)
+	p.idle = append(p.idle, conn)
 	// The connections at the front have been idle for the longest time.
 	for len(p.idle) > 0 && time.Since(p.idle[0].lastUsed) > 1500*time.Millisecond {
 		p.idle[0].Close()
@@ -287,29 +288,29 @@
 
 // exchange sends one submission and returns the status of the response, 0 if there was none, and its Retry-After wait.
 // sent is false if no byte can have reached the sender.
-func (c *Clients) exchange(sender int, e *effect, id string, remaining rules.Millis, retry string) (status int,
+func (c *Clients) exchange(sender int, toSubmit *effect, id string, remaining rules.Millis, retry string) (status int,
 	retryAfter rules.Millis, sent bool) {
-	w := c.env.Instance
-	deadline := time.Now().Add(toDuration(w.Traffic.AnswerTimeout))
+	instance := c.env.Instance
+	deadline := time.Now().Add(toDuration(instance.Traffic.AnswerTimeout))
 	var request bytes.Buffer
-	grade := w.Names.Grades[e.Grade]
+	grade := instance.Names.Grades[toSubmit.Grade]
 	fmt.Fprintf(&request, "POST /%s HTTP/1.1\r\nHost: sender\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
 		"Request-Timeout-Ms: %d\r\nX-Consignee: dest=%d\r\nContent-Length: %d\r\n", grade, id, grade, int(remaining),
-		e.Destination, e.Body)
-	if e.Portfolio < len(w.Names.Portfolios) {
-		fmt.Fprintf(&request, "Tenant: %s\r\n", w.Names.Portfolios[e.Portfolio])
+		toSubmit.Destination, toSubmit.Body)
+	if toSubmit.Portfolio < len(instance.Names.Portfolios) {
+		fmt.Fprintf(&request, "Tenant: %s\r\n", instance.Names.Portfolios[toSubmit.Portfolio])
 	}
-	if e.mark != "" {
-		fmt.Fprintf(&request, "Idempotency-Key: %s\r\n", e.mark)
+	if toSubmit.mark != "" {
+		fmt.Fprintf(&request, "Idempotency-Key: %s\r\n", toSubmit.mark)
 	}
-	if e.Key > 0 {
-		fmt.Fprintf(&request, "Affinity-Key: k%d\r\n", e.Key)
+	if toSubmit.Key > 0 {
+		fmt.Fprintf(&request, "Affinity-Key: k%d\r\n", toSubmit.Key)
 	}
 	if retry != "" {
 		fmt.Fprintf(&request, "Client-Retry: %s\r\n", retry)
 	}
 	request.WriteString("\r\n")
-	request.Write(bytes.Repeat([]byte{'b'}, e.Body))
+	request.Write(bytes.Repeat([]byte{'b'}, toSubmit.Body))
 	for newConnection := false; ; newConnection = true {
 		current := c.pools[sender].take()
 		if current == nil || newConnection {
@@ -360,8 +361,8 @@
 func (c *Clients) CloseIdle() {
 	for _, p := range c.pools {
 		p.mu.Lock()
-		for _, l := range p.idle {
-			l.Close()
+		for _, conn := range p.idle {
+			conn.Close()
 		}
 		p.idle = nil
 		p.mu.Unlock()
@@ -395,7 +396,7 @@
 	clients.Wait()
 }
 
-// hostileRequests generate what hostile clients send. The empty one stands for a client that connects and sends
+// hostileRequests generate what hostile clients send. An empty request stands for a client that connects and sends
 // nothing.
 var hostileRequests = []func(random *rand.Rand) string{
 	func(*rand.Rand) string { return "" },
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -51,7 +51,7 @@
 	receivers    map[string]*receiver
 }
 
-// destination is one destination with the number of its open connections.
+// destination is one destination with all its receivers.
 type destination struct {
 	*gateway.Site // guarded by mu
 	mu            sync.Mutex
@@ -67,25 +67,25 @@
 	listener     *net.TCPListener
 	conns        map[net.Conn]bool
 	queueFillers []net.Conn    // connections that fill the kernel's accept queue
-	paused       chan struct{} // closed when a blocked receiver is unblocked; nil while it is not blocked
+	unblocked    chan struct{} // closed when a blocked receiver is unblocked; nil while it is not blocked
 	resetsUntil  time.Time     // until then, connections are reset: the kernel established them during a block
 	closed       bool
 }
 
 // NewGateways opens the receivers of a scenario instance.
 func NewGateways(env *Environment) (*Gateways, error) {
-	g := &Gateways{env: env, destinations: map[int]*destination{}, receivers: map[string]*receiver{}}
+	gateways := &Gateways{env: env, destinations: map[int]*destination{}, receivers: map[string]*receiver{}}
 	for _, d := range env.Instance.Destinations {
 		opened := &destination{Site: gateway.NewSite(env.Instance, d)}
-		g.destinations[d.Number] = opened
+		gateways.destinations[d.Number] = opened
 		for _, id := range d.Receivers {
-			if err := g.Open(id, d.Number); err != nil {
+			if err := gateways.Open(id, d.Number); err != nil {
 				return nil, err
 			}
 		}
-		go g.watchOutages(opened)
+		go gateways.watchOutages(opened)
 	}
-	return g, nil
+	return gateways, nil
 }
 
 // watchOutages updates a destination whenever one of its outages begins or ends.
@@ -227,10 +227,10 @@
 func (r *receiver) block() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.listener == nil || r.paused != nil {
+	if r.listener == nil || r.unblocked != nil {
 		return
 	}
-	r.paused = make(chan struct{})
+	r.unblocked = make(chan struct{})
 	r.listener.SetDeadline(time.Unix(1, 0))
 	setBacklog(r.listener, 0)
 	for range 2 {
@@ -244,11 +244,11 @@
 func (r *receiver) unblock() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.paused == nil {
+	if r.unblocked == nil {
 		return
 	}
-	close(r.paused)
-	r.paused = nil
+	close(r.unblocked)
+	r.unblocked = nil
 	r.resetsUntil = time.Now().Add(30 * time.Millisecond)
 	for _, c := range r.queueFillers {
 		c.Close()
@@ -300,20 +300,20 @@
 
 // accept accepts connections until the listener is replaced or closed. It resets those over the destination's limit and
 // those that arrived while the receiver was closed or blocked.
-func (r *receiver) accept(l *net.TCPListener) {
+func (r *receiver) accept(listener *net.TCPListener) {
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			r.mu.Lock()
-			paused := r.paused
-			current := r.listener == l
+			unblocked := r.unblocked
+			current := r.listener == listener
 			r.mu.Unlock()
 			switch {
 			case !current:
 				return
-			case paused != nil:
+			case unblocked != nil:
 				select {
-				case <-paused:
+				case <-unblocked:
 				case <-r.gateways.env.done:
 					return
 				}
@@ -322,29 +322,29 @@
 			}
 			continue
 		}
-		d := r.destination
-		d.mu.Lock()
-		full := d.Group.Profile.Connections > 0 && d.open >= d.Group.Profile.Connections
+		destination := r.destination
+		destination.mu.Lock()
+		full := destination.Group.Profile.Connections > 0 && destination.open >= destination.Group.Profile.Connections
 		if !full {
-			d.open++
+			destination.open++
 		}
-		d.mu.Unlock()
+		destination.mu.Unlock()
 		r.mu.Lock()
-		stale := r.closed || r.listener != l || time.Now().Before(r.resetsUntil)
+		stale := r.closed || r.listener != listener || time.Now().Before(r.resetsUntil)
 		if !stale {
-			r.conns[c] = true
+			r.conns[conn] = true
 		}
 		r.mu.Unlock()
 		if full || stale {
-			reset(c)
+			reset(conn)
 			if !full {
-				d.mu.Lock()
-				d.open--
-				d.mu.Unlock()
+				destination.mu.Lock()
+				destination.open--
+				destination.mu.Unlock()
 			}
 			continue
 		}
-		go r.serve(c)
+		go r.serve(conn)
 	}
 }
 
@@ -359,7 +359,7 @@
 type connection struct {
 	net.Conn
 	reader        *bufio.Reader
-	peerClosed    chan struct{} // closed when the sender has ended the connection; nil while nothing watches for it
+	peerClosed    chan struct{} // closed when the sender has ended the connection; nil if not watched
 	readable      chan struct{} // closed when a byte can be read or the connection has ended
 	closedLocally atomic.Bool   // the gateway closed it
 
@@ -377,30 +377,30 @@
 // maxRetractable limits for how many calls of a connection its end is recorded.
 const maxRetractable = 64
 
-// recordResponse adds a call with its response to the retractable ones. Of the earlier calls, it drops one whose
-// response was followed by another with the same status, if the sender must have received that one. It need not have
-// received the response to the newest call.
-func (l *connection) recordResponse(call *audit.Call, status int) {
-	last := len(l.retractable) - 1
+// recordResponse adds a call with its response to the retractable ones. If the last two before it have the same status,
+// it drops the earlier of them: the sender has received the response to the later one, because it has sent a further
+// call. Whether it receives the response to the new call is not known yet.
+func (c *connection) recordResponse(call *audit.Call, status int) {
+	last := len(c.retractable) - 1
 	switch {
-	case last > 0 && l.retractable[last-1].status == l.retractable[last].status:
-		l.retractable = slices.Delete(l.retractable, last-1, last)
-	case len(l.retractable) == maxRetractable:
-		l.retractable = slices.Delete(l.retractable, 0, 1)
+	case last > 0 && c.retractable[last-1].status == c.retractable[last].status:
+		c.retractable = slices.Delete(c.retractable, last-1, last)
+	case len(c.retractable) == maxRetractable:
+		c.retractable = slices.Delete(c.retractable, 0, 1)
 	}
-	l.retractable = append(l.retractable, answeredCall{call, status})
+	c.retractable = append(c.retractable, answeredCall{call, status})
 }
 
 // recordEnd records the end of the connection for the retractable calls.
-func (l *connection) recordEnd(env *Environment) {
+func (c *connection) recordEnd(env *Environment) {
 	at := env.Clock.Now()
-	for i, a := range l.retractable {
-		last := i == len(l.retractable)-1
-		env.Record.Update(a.call, func(c *audit.Call) {
-			c.ConnectionEnded = at
+	for i, a := range c.retractable {
+		last := i == len(c.retractable)-1
+		env.Record.Update(a.call, func(recorded *audit.Call) {
+			recorded.ConnectionEnded = at
 			// The sender may never have read a response that was followed by a reset.
-			if last && l.closedLocally.Load() && c.Closed == 0 {
-				c.Closed = at
+			if last && c.closedLocally.Load() && recorded.Closed == 0 {
+				recorded.Closed = at
 			}
 		})
 	}
@@ -408,23 +408,23 @@
 
 // watchPeer starts a goroutine, if none is running, that waits for the next byte while the connection is served. The
 // channel that it returns is closed when the sender ends the connection.
-func (l *connection) watchPeer() <-chan struct{} {
-	if l.peerClosed == nil {
-		l.peerClosed, l.readable = make(chan struct{}), make(chan struct{})
+func (c *connection) watchPeer() <-chan struct{} {
+	if c.peerClosed == nil {
+		c.peerClosed, c.readable = make(chan struct{}), make(chan struct{})
 		go func(peerClosed, readable chan struct{}) {
 			defer close(readable)
-			if !l.peekByte() {
+			if !c.peekByte() {
 				close(peerClosed)
 			}
-		}(l.peerClosed, l.readable)
+		}(c.peerClosed, c.readable)
 	}
-	return l.peerClosed
+	return c.peerClosed
 }
 
 // peerEnded reports whether the sender has closed the connection or its sending side.
-func (l *connection) peerEnded() bool {
+func (c *connection) peerEnded() bool {
 	select {
-	case <-l.watchPeer():
+	case <-c.watchPeer():
 		return true
 	default:
 		return false
@@ -432,66 +432,66 @@
 }
 
 // awaitReadable waits for the next byte and reports whether there is one.
-func (l *connection) awaitReadable(done <-chan struct{}) bool {
-	if l.readable != nil {
+func (c *connection) awaitReadable(done <-chan struct{}) bool {
+	if c.readable != nil {
 		select {
-		case <-l.readable:
+		case <-c.readable:
 		case <-done:
 			return false
 		}
-		l.peerClosed, l.readable = nil, nil
+		c.peerClosed, c.readable = nil, nil
 	}
-	return l.peekByte()
+	return c.peekByte()
 }
 
 // peekByte waits for the next byte and reports whether there is one. If the gateway closed the connection, it records
 // that.
-func (l *connection) peekByte() bool {
-	_, err := l.reader.Peek(1)
+func (c *connection) peekByte() bool {
+	_, err := c.reader.Peek(1)
 	if errors.Is(err, net.ErrClosed) {
-		l.closedLocally.Store(true)
+		c.closedLocally.Store(true)
 	}
 	return err == nil
 }
 
 // serve responds to the calls of one connection.
-func (r *receiver) serve(c net.Conn) {
+func (r *receiver) serve(netConn net.Conn) {
 	defer func() {
-		c.Close()
+		netConn.Close()
 		r.mu.Lock()
-		delete(r.conns, c)
+		delete(r.conns, netConn)
 		r.mu.Unlock()
 		r.destination.mu.Lock()
 		r.destination.open--
 		r.destination.mu.Unlock()
 	}()
-	l := &connection{Conn: c, reader: bufio.NewReaderSize(c, 4096)}
-	defer l.recordEnd(r.gateways.env)
+	conn := &connection{Conn: netConn, reader: bufio.NewReaderSize(netConn, 4096)}
+	defer conn.recordEnd(r.gateways.env)
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
-	for l.awaitReadable(r.gateways.env.done) {
-		received, ok := r.receive(l, request)
-		if !ok || !r.respond(l, received) {
+	for conn.awaitReadable(r.gateways.env.done) {
+		received, ok := r.receive(conn, request)
+		if !ok || !r.respond(conn, received) {
 			return
 		}
 	}
 }
 
-// receive reads a request. It returns false if the connection is of no further use.
-func (r *receiver) receive(l *connection, request *fasthttp.Request) (receivedRequest, bool) {
+// receive reads a request. It returns false if the connection cannot be used any further.
+func (r *receiver) receive(conn *connection, request *fasthttp.Request) (receivedRequest, bool) {
 	env := r.gateways.env
 	received := receivedRequest{first: env.Clock.Now()}
 	if r.waitOutFault(scenario.Silent) {
-		reset(l.Conn)
+		reset(conn.Conn)
 		return received, false
 	}
 	if _, drawn := r.drawFault(scenario.ResetBefore, -1); drawn {
 		env.Record.Call(audit.Call{Receiver: r.id, Dest: r.destination.Number, First: received.first,
 			Last: received.first, Unread: true, Fault: scenario.ResetBefore})
-		reset(l.Conn)
+		reset(conn.Conn)
 		return received, false
 	}
-	if request.ReadLimitBody(l.reader, 1<<20) != nil {
+	if request.ReadLimitBody(conn.reader, 1<<20) != nil {
 		return received, false
 	}
 	received.id, received.mark = string(request.Header.Peek("Request-Id")),
@@ -535,7 +535,7 @@
 	slow          bool         // write one byte a second
 	malformed     bool         // the response cannot be read to its end
 	fault         string       // kind of the injected fault that causes it; empty: none
-	lostUnseen    bool         // the call is lost before the destination looks at it
+	lostUnread    bool         // the call is lost before the destination reads it
 }
 
 // decide asks the destination what happens to a call, and records an overload that the call causes.
@@ -552,22 +552,22 @@
 		Reply: Reply{Status: verdict.Status, Fields: verdict.HeaderLines, Raw: verdict.Raw, Reset: verdict.Reset,
 			NoResponse: verdict.NoResponse, Ran: verdict.TookEffect},
 		due: verdict.At, requestedWait: verdict.Wait, slow: verdict.Dribbled, malformed: verdict.Malformed,
-		fault: verdict.Fault, lostUnseen: verdict.LostUnread}
+		fault: verdict.Fault, lostUnread: verdict.LostUnread}
 }
 
 // respond handles one call and reports whether the connection stays in use.
-func (r *receiver) respond(c *connection, received receivedRequest) bool {
+func (r *receiver) respond(conn *connection, received receivedRequest) bool {
 	env, id, mark := r.gateways.env, received.id, received.mark
 	submission, known := env.Record.SubmissionOf(id)
 	observed := audit.Call{ID: id, Receiver: r.id, Mark: mark, Dest: r.destination.Number,
-		SeparateRoutes: r.hasSeparateRoutes(), First: received.first, Last: received.last, EarlierCalls: c.callCount}
-	c.callCount++
+		SeparateRoutes: r.hasSeparateRoutes(), First: received.first, Last: received.last, EarlierCalls: conn.callCount}
+	conn.callCount++
 	var planned plannedResponse
 	switch {
 	case r.gateways.Script != nil:
 		planned.Reply = r.gateways.Script(&ReceivedCall{ID: id, Mark: mark, Receiver: r.id,
-			Remote: c.RemoteAddr().String(),
-			Path:   received.path, Body: received.body, PeerClosed: c.watchPeer()})
+			Remote: conn.RemoteAddr().String(),
+			Path:   received.path, Body: received.body, PeerClosed: conn.watchPeer()})
 		planned.due = env.Clock.Now() + rules.Millis(planned.Delay)/1e6
 	case !known && !env.ServeUnknown:
 		planned = plannedResponse{Reply: Reply{Status: 400}, due: received.last}
@@ -577,11 +577,11 @@
 		}
 		planned = r.decide(received.last, submission.Sender, submission.Grade)
 	}
-	observed.Ran, observed.Fault, observed.Unread = planned.Ran, planned.fault, planned.lostUnseen
+	observed.Ran, observed.Fault, observed.Unread = planned.Ran, planned.fault, planned.lostUnread
 	call := env.Record.Call(observed)
 	recordClosed := func() {
 		at := env.Clock.Now()
-		env.Record.Update(call, func(c *audit.Call) { c.Closed = at })
+		env.Record.Update(call, func(recorded *audit.Call) { recorded.Closed = at })
 	}
 	if wait := max(env.Clock.Until(planned.due), planned.Delay); wait > 0 || planned.NoResponse {
 		due := time.NewTimer(wait)
@@ -591,7 +591,7 @@
 		}
 		select {
 		case <-due.C:
-		case <-c.watchPeer():
+		case <-conn.watchPeer():
 			recordClosed()
 			return false
 		case <-env.done:
@@ -600,11 +600,11 @@
 	}
 	if r.waitOutFault(scenario.Silent) {
 		recordClosed()
-		reset(c.Conn)
+		reset(conn.Conn)
 		return false
 	}
 	r.waitOutPause()
-	if r.gateways.Script == nil && c.peerEnded() {
+	if r.gateways.Script == nil && conn.peerEnded() {
 		recordClosed() // the sender has abandoned the call in the meantime, so there is no response
 		return false
 	}
@@ -612,7 +612,7 @@
 		planned.Raw = formatResponse(planned.Reply)
 	}
 	if planned.Raw != "" {
-		if !r.writeResponse(c, call, planned) {
+		if !r.writeResponse(conn, call, planned) {
 			recordClosed()
 			return false
 		}
@@ -620,12 +620,12 @@
 	switch {
 	case planned.Reset:
 		recordClosed()
-		reset(c.Conn)
+		reset(conn.Conn)
 		return false
 	case planned.malformed:
-		// After a malformed response the connection stays open but is of no further use.
+		// After a malformed response the connection stays open but serves no further call.
 		select {
-		case <-c.watchPeer():
+		case <-conn.watchPeer():
 		case <-env.done:
 		}
 		return false
@@ -660,22 +660,22 @@
 
 // writeResponse writes a response and records when its status line was written. It returns false if writing failed or
 // the run ended.
-func (r *receiver) writeResponse(c *connection, call *audit.Call, planned plannedResponse) bool {
+func (r *receiver) writeResponse(conn *connection, call *audit.Call, planned plannedResponse) bool {
 	env := r.gateways.env
 	recordWritten := func() {
 		at := env.Clock.Now()
-		env.Record.Update(call, func(c *audit.Call) {
-			c.Replied, c.Status, c.RequestedWait, c.Malformed = at, planned.Status, planned.requestedWait,
-				planned.malformed
-			c.Delivered, c.Unfinished = planned.Status == 200, planned.slow
+		env.Record.Update(call, func(recorded *audit.Call) {
+			recorded.Replied, recorded.Status, recorded.RequestedWait, recorded.Malformed = at, planned.Status,
+				planned.requestedWait, planned.malformed
+			recorded.Delivered, recorded.Unfinished = planned.Status == 200, planned.slow
 		})
 	}
 	if !planned.slow {
 		recordWritten()
-		c.recordResponse(call, planned.Status)
-		_, err := io.WriteString(c, planned.Raw)
+		conn.recordResponse(call, planned.Status)
+		_, err := io.WriteString(conn, planned.Raw)
 		if err != nil {
-			env.Record.Update(call, func(c *audit.Call) { c.Delivered, c.Status = false, 0 })
+			env.Record.Update(call, func(recorded *audit.Call) { recorded.Delivered, recorded.Status = false, 0 })
 		}
 		return err == nil
 	}
@@ -687,17 +687,17 @@
 		if i == lineEnd {
 			recordWritten()
 		}
-		if _, err := c.Write([]byte{planned.Raw[i]}); err != nil {
+		if _, err := conn.Write([]byte{planned.Raw[i]}); err != nil {
 			return false
 		}
 		select {
 		case <-time.After(time.Second):
-		case <-c.watchPeer():
+		case <-conn.watchPeer():
 			return false
 		case <-env.done:
 			return false
 		}
 	}
-	env.Record.Update(call, func(c *audit.Call) { c.Unfinished = false })
+	env.Record.Update(call, func(recorded *audit.Call) { recorded.Unfinished = false })
 	return true
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -29,38 +29,38 @@
 	wake      chan struct{}    // closed at the next change of the list
 	addresses []string         // last address of each sender
 	servers   []*http.Server
-	// OnOutcome is called with each final outcome that a sender reported. It must not block.
+	// OnOutcome, if set, is called with each final outcome that a sender reported. It must not block.
 	OnOutcome func(sender int, e directory.FinalOutcome)
-	// Override may respond to a request in place of the platform, and returns whether it did. Tests use it.
+	// Override, if set, may respond to a request in place of the platform, and returns whether it did. Tests use it.
 	Override func(sender int, w http.ResponseWriter, r *http.Request, body []byte) bool
 }
 
 // NewPlatform opens a platform for a number of senders, with the gateways' receivers in its list.
-func NewPlatform(env *Environment, g *Gateways, senders int) (*Platform, error) {
-	p := &Platform{env: env, gateways: g, members: map[string]directory.Member{}, changed: map[string]int64{},
-		wake: make(chan struct{})}
+func NewPlatform(env *Environment, gateways *Gateways, senders int) (*Platform, error) {
+	platform := &Platform{env: env, gateways: gateways, members: map[string]directory.Member{},
+		changed: map[string]int64{}, wake: make(chan struct{})}
 	for _, d := range env.Instance.Destinations {
 		for _, id := range d.Receivers {
-			p.members[id] = p.newMember(d, id, "ready")
-			p.changed[id] = 1
+			platform.members[id] = platform.newMember(d, id, "ready")
+			platform.changed[id] = 1
 		}
 	}
-	p.revision = 1
+	platform.revision = 1
 	for sender := range senders {
-		if err := p.Listen(sender, env.UnusedAddress()); err != nil {
+		if err := platform.Listen(sender, env.UnusedAddress()); err != nil {
 			return nil, err
 		}
 	}
-	go p.followFaults()
-	return p, nil
+	go platform.followFaults()
+	return platform, nil
 }
 
 // Listen opens one more address for a sender, an unused one if address is empty. Address returns the last one.
 func (p *Platform) Listen(sender int, address string) error {
-	l, err := p.env.Listen()
+	listener, err := p.env.Listen()
 	if address != "" && err == nil {
-		l.Close()
-		l, err = listenOn(address)
+		listener.Close()
+		listener, err = listenOn(address)
 	}
 	if err != nil {
 		return err
@@ -72,10 +72,10 @@
 	for len(p.addresses) <= sender {
 		p.addresses = append(p.addresses, "")
 	}
-	p.addresses[sender] = l.Addr().String()
+	p.addresses[sender] = listener.Addr().String()
 	p.servers = append(p.servers, server)
 	p.mu.Unlock()
-	go server.Serve(l)
+	go server.Serve(listener)
 	go func() { <-p.env.done; server.Close() }()
 	return nil
 }
@@ -179,28 +179,29 @@
 	}
 	var outcomes []directory.FinalOutcome
 	for lines := bufio.NewScanner(newReader(body)); lines.Scan(); {
-		var e directory.FinalOutcome
-		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Message == "" ||
-			e.Outcome != directory.GivenUp && e.Outcome != directory.HandedBack {
+		var outcome directory.FinalOutcome
+		if err := json.Unmarshal(lines.Bytes(), &outcome); err != nil || outcome.Message == "" ||
+			outcome.Outcome != directory.GivenUp && outcome.Outcome != directory.HandedBack {
 			w.WriteHeader(400)
 			return
 		}
-		outcomes = append(outcomes, e)
+		outcomes = append(outcomes, outcome)
 	}
-	for _, e := range outcomes {
-		p.env.Record.Outcome(audit.FinalOutcome{ID: e.Message, Outcome: e.Outcome, Sender: sender,
+	for _, outcome := range outcomes {
+		p.env.Record.Outcome(audit.FinalOutcome{ID: outcome.Message, Outcome: outcome.Outcome, Sender: sender,
 			At: p.env.Clock.Now()})
 	}
 	w.WriteHeader(204)
 	if p.OnOutcome != nil {
-		for _, e := range outcomes {
-			p.OnOutcome(sender, e)
+		for _, outcome := range outcomes {
+			p.OnOutcome(sender, outcome)
 		}
 	}
 }
 
 // sendList responds with the changes of the receiver list since the revision that the sender names, or with the whole
-// list. If there is no change yet, it waits for one as long as the sender asks.
+// list if it names none or one that does not exist yet. If there is no change since, it waits for one as long as the
+// sender asks.
 func (p *Platform) sendList(sender int, w http.ResponseWriter, r *http.Request) {
 	if _, on := p.activeFault(scenario.ListGarbage); on {
 		p.env.sleep(50 * time.Millisecond)
@@ -231,7 +232,7 @@
 	p.mu.Unlock()
 	text, _ := json.Marshal(list)
 	w.Header().Set("Content-Length", fmt.Sprint(len(text)))
-	// The list is recorded as received once it is written.
+	// The audit record counts the list as received once it is written.
 	if _, err := w.Write(text); err != nil {
 		return
 	}
@@ -252,23 +253,23 @@
 func (p *Platform) followFaults() {
 	var steps []step
 	delay := p.env.Instance.ListDelay
-	for _, d := range p.env.Instance.Destinations {
-		for n, f := range d.Faults {
-			old := d.Receivers
+	for _, destination := range p.env.Instance.Destinations {
+		for index, fault := range destination.Faults {
+			old := destination.Receivers
 			replacements := make([]string, len(old))
 			for i, id := range old {
-				replacements[i] = fmt.Sprintf("%s+%d", id, n+1)
+				replacements[i] = fmt.Sprintf("%s+%d", id, index+1)
 			}
 			announce := func(ids []string, phase string) {
 				var members []directory.Member
 				for _, id := range ids {
-					members = append(members, p.newMember(d, id, phase))
+					members = append(members, p.newMember(destination, id, phase))
 				}
 				p.Change(members...)
 			}
 			open := func() {
 				for _, id := range replacements {
-					p.gateways.Open(id, d.Number)
+					p.gateways.Open(id, destination.Number)
 				}
 			}
 			remove := func() {
@@ -276,14 +277,14 @@
 					p.gateways.Remove(id)
 				}
 			}
-			switch f.Kind {
+			switch fault.Kind {
 			case scenario.Drain:
-				steps = append(steps, step{f.At, open},
-					step{f.At + delay, func() { announce(old, "draining"); announce(replacements, "ready") }},
-					step{f.Until(), func() { announce(old, "gone") }}, step{f.Until() + delay + 1500, remove})
+				steps = append(steps, step{fault.At, open},
+					step{fault.At + delay, func() { announce(old, "draining"); announce(replacements, "ready") }},
+					step{fault.Until(), func() { announce(old, "gone") }}, step{fault.Until() + delay + 1500, remove})
 			case scenario.Vanish:
-				steps = append(steps, step{f.At, remove}, step{f.At + delay, func() { announce(old, "gone") }},
-					step{f.Until(), open}, step{f.Until() + delay, func() { announce(replacements, "ready") }})
+				steps = append(steps, step{fault.At, remove}, step{fault.At + delay, func() { announce(old, "gone") }},
+					step{fault.Until(), open}, step{fault.Until() + delay, func() { announce(replacements, "ready") }})
 			}
 		}
 	}
--- a/internal/standin/stage.go
+++ b/internal/standin/stage.go
@@ -58,19 +58,19 @@
 }
 
 // NewEnvironment returns the test environment for a run of a scenario instance.
-func NewEnvironment(w *scenario.Instance) *Environment {
-	return &Environment{Instance: w, Clock: &Clock{}, Record: audit.NewRecord(), done: make(chan struct{}),
+func NewEnvironment(instance *scenario.Instance) *Environment {
+	return &Environment{Instance: instance, Clock: &Clock{}, Record: audit.NewRecord(), done: make(chan struct{}),
 		netByte: byte(20 + rand.IntN(200)), subnetByte: byte(1 + rand.IntN(250))}
 }
 
 // Close stops all stand-ins.
-func (s *Environment) Close() { s.once.Do(func() { close(s.done) }) }
+func (e *Environment) Close() { e.once.Do(func() { close(e.done) }) }
 
 // sleep waits for a duration and reports whether the run goes on.
-func (s *Environment) sleep(d time.Duration) bool {
+func (e *Environment) sleep(d time.Duration) bool {
 	if d <= 0 {
 		select {
-		case <-s.done:
+		case <-e.done:
 			return false
 		default:
 			return true
@@ -81,32 +81,32 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-s.done:
+	case <-e.done:
 		return false
 	}
 }
 
 // waitUntil waits for a time in the scenario and reports whether the run goes on. It sleeps for at
 // most 20 ms at a time.
-func (s *Environment) waitUntil(when rules.Millis) bool {
-	for s.Clock.Now() < when {
-		wait := s.Clock.Until(when)
-		if s.Clock.Now() < 0 || wait > 20*time.Millisecond {
+func (e *Environment) waitUntil(when rules.Millis) bool {
+	for e.Clock.Now() < when {
+		wait := e.Clock.Until(when)
+		if e.Clock.Now() < 0 || wait > 20*time.Millisecond {
 			wait = min(max(wait/2, time.Millisecond), 20*time.Millisecond)
 		}
-		if !s.sleep(wait) {
+		if !e.sleep(wait) {
 			return false
 		}
 	}
-	return s.sleep(0)
+	return e.sleep(0)
 }
 
 // Listen listens on an unused loopback address of this run. Its port is below the range that the kernel assigns to
 // outgoing connections, so the same address can be closed and opened again.
-func (s *Environment) Listen() (net.Listener, error) {
+func (e *Environment) Listen() (net.Listener, error) {
 	var lastErr error
 	for range 200 {
-		l, err := net.Listen("tcp", s.UnusedAddress())
+		l, err := net.Listen("tcp", e.UnusedAddress())
 		if err == nil {
 			return l, nil
 		}
@@ -118,15 +118,15 @@
 }
 
 // UnusedAddress returns an address that this run has not used yet.
-func (s *Environment) UnusedAddress() string {
-	n := s.addressesUsed.Add(1) - 1
-	return fmt.Sprintf("127.%d.%d.%d:%d", s.netByte, s.subnetByte, 1+n%250, 7000+n/250)
+func (e *Environment) UnusedAddress() string {
+	n := e.addressesUsed.Add(1) - 1
+	return fmt.Sprintf("127.%d.%d.%d:%d", e.netByte, e.subnetByte, 1+n%250, 7000+n/250)
 }
 
 // Ended reports whether the run is over.
-func (s *Environment) Ended() bool {
+func (e *Environment) Ended() bool {
 	select {
-	case <-s.done:
+	case <-e.done:
 		return true
 	default:
 		return false
@@ -134,4 +134,4 @@
 }
 
 // WaitUntil waits for a time in the scenario and reports whether the run goes on.
-func (s *Environment) WaitUntil(when rules.Millis) bool { return s.waitUntil(when) }
+func (e *Environment) WaitUntil(when rules.Millis) bool { return e.waitUntil(when) }
