--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -342,8 +342,8 @@
 	}
 }
 
-// chooseReceiver returns the destination's next ready receiver in turn or, for LeastInFlight, the one with the fewest calls in
-// flight. It returns nil if no receiver is ready.
+// chooseReceiver returns the destination's next ready receiver in turn or, for LeastInFlight, the one with the fewest
+// calls in flight. It returns nil if no receiver is ready.
 func (p *baseline) chooseReceiver(d *baselineDestination) *baselineReceiver {
 	var best *baselineReceiver
 	d.nextReceiver++
