--- a/cmd/chutelab/lab.go
+++ b/cmd/chutelab/lab.go
@@ -261,7 +261,8 @@
 	var width float64
 	var most int
 	command := &cobra.Command{
-		Use: "compare", Short: "Compare two settings, policies or builds over the same seeds", Args: cli.Args(cobra.NoArgs),
+		Use: "compare", Short: "Compare two settings, policies or builds over the same seeds",
+		Args: cli.Args(cobra.NoArgs),
 		Long: `compare runs both variants with the same seeds and estimates the mean difference of each figure over the pairs, with 95%
 intervals. With --width it adds seeds until half the interval's width of the chosen figure is at most that, or --most
 seeds have run. To compare two builds, write the rows of each with lab run --rows, and pass them as --rows-a and --rows-b.`,
--- a/cmd/chutelab/load.go
+++ b/cmd/chutelab/load.go
@@ -58,7 +58,8 @@
 		RunE: func(command *cobra.Command, _ []string) error {
 			if options.rate <= 0 || options.destinations < 1 || options.senders < 1 || options.rounds < 1 ||
 				options.hang < 0 || options.hang > 1 {
-				return cli.UsageErrorf("--rate, --destinations, --senders and --rounds must be above 0, --hang between 0 and 1")
+				return cli.UsageErrorf(
+					"--rate, --destinations, --senders and --rounds must be above 0, --hang between 0 and 1")
 			}
 			if options.shape != "" && !slices.Contains([]string{"steady", "ramp", "peak"}, options.shape) {
 				return cli.UsageErrorf("--shape %s: must be one of steady, ramp, peak", options.shape)
--- a/cmd/chutelab/main.go
+++ b/cmd/chutelab/main.go
@@ -32,8 +32,8 @@
 	return root
 }
 
-// senderProgram returns the path of the sender's program: the named one, or else chuteweir in this program's directory or
-// in PATH.
+// senderProgram returns the path of the sender's program: the named one, or else chuteweir in this program's directory
+// or in PATH.
 func senderProgram(named string) (string, error) {
 	if named != "" {
 		return exec.LookPath(named)
--- a/cmd/chutelab/sick.go
+++ b/cmd/chutelab/sick.go
@@ -47,7 +47,8 @@
 		RunE: func(command *cobra.Command, _ []string) error {
 			for _, name := range options.only {
 				if !slices.Contains(scenario.FailingSet(), name) {
-					return cli.UsageErrorf("--only %s: must be one of %s", name, strings.Join(scenario.FailingSet(), ", "))
+					return cli.UsageErrorf("--only %s: must be one of %s", name,
+						strings.Join(scenario.FailingSet(), ", "))
 				}
 			}
 			if options.slots < 0 || options.destinations < 0 || options.rate < 0 || options.parallel < 1 {
--- a/cmd/chutelab/try.go
+++ b/cmd/chutelab/try.go
@@ -24,7 +24,8 @@
 	var length time.Duration
 	var asJSON, list, mix bool
 	command := &cobra.Command{
-		Use: "try", Short: "Run a scenario against senders with stand-ins and report the results", Args: cli.Args(cobra.NoArgs),
+		Use: "try", Short: "Run a scenario against senders with stand-ins and report the results",
+		Args: cli.Args(cobra.NoArgs),
 		Long: `try starts a stand-in platform, gateways and clients on free loopback ports and as many senders as the scenario
 says, runs the scenario, checks the recorded events against the six rules, and prints a table. It fails if a rule was
 broken. With --seeds it runs several seeds and prints a line for each.`,
@@ -123,7 +124,8 @@
 	flagSet.IntVar(&seeds, "seeds", 1, "number of seeds to run")
 	flagSet.IntVar(&parallel, "parallel", 1, "with --seeds: number of concurrent runs")
 	flagSet.BoolVar(&mix, "mix", false, "replace the scenario's faults by random ones that the seed determines")
-	flagSet.DurationVar(&length, "length", 0, "duration in which notices are submitted, instead of the scenario's length")
+	flagSet.DurationVar(&length, "length", 0,
+		"duration in which notices are submitted, instead of the scenario's length")
 	flagSet.BoolVar(&asJSON, "json", false, "print the results as JSON, one line for each run")
 	flagSet.StringVar(&keep, "keep", "", "directory in which to keep configurations, ledgers and logs")
 	flagSet.StringVar(&program, "program", "",
--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -410,8 +410,8 @@
 		}
 		if 3*forewarned >= 2*total {
 			c.breaches = append(c.breaches, Breach{Returns, "", fmt.Sprintf("destination %d was overloaded on its "+
-				"return at %.0f ms by %d calls, %d of them from senders that had seen its outage", overload.Dest, overload.At,
-				total, forewarned), nil})
+				"return at %.0f ms by %d calls, %d of them from senders that had seen its outage",
+				overload.Dest, overload.At, total, forewarned), nil})
 		}
 	}
 }
