--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -64,7 +64,7 @@
 		record(rules.ListUpdated{Complete: true, Entries: []rules.Entry{other}}),
 		record(rules.NoticeAccepted{Notice: 7, Grade: 2, Portfolio: 1, Key: 9, Destination: 3,
 			TimeLeft: 1000, Inherited: true}),
-		record(rules.TripEnded{Notice: 7, Receiver: 10, Result: rules.Full, Duration: 100, RequestedWait: 300,
+		record(rules.TripEnded{Notice: 7, Receiver: 10, Result: rules.Refused, Duration: 100, RequestedWait: 300,
 			LimitReported: true, LimitRemaining: 0.5, LimitRate: 5}),
 		record(rules.TimerDue{Timer: 77}),
 		record(rules.NoticeWithdrawn{Notice: 7}),
@@ -167,10 +167,11 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	err := w.Add(3, []rules.Action{
-		rules.LetGo{Receiver: 0x2c9011f2}, rules.Send{Notice: 0x5d3a91c4, Receiver: 0x03124a07, TimeOut: 80},
-		rules.Dismiss{Notice: 7, RetryAfter: 250}, rules.BreakOff{Notice: 7}, rules.CallOff{Notice: 7, Trip: 2},
+		rules.CloseIdleConnections{Receiver: 0x2c9011f2},
+		rules.Send{Notice: 0x5d3a91c4, Receiver: 0x03124a07, Timeout: 80},
+		rules.Dismiss{Notice: 7, RetryAfter: 250}, rules.BreakOff{Notice: 7}, rules.CancelTrip{Notice: 7, Trip: 2},
 		rules.SetTimer{After: 500, Timer: 77}, rules.WatchList{},
-		rules.Turned{Destination: 1, Route: 2, State: "open", Why: "hi"},
+		rules.BreakerChanged{Destination: 1, Route: 2, State: "open", Reason: "hi"},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -76,7 +76,7 @@
 
 // resultByStatus maps the status codes of verdicts, which are the outcomes of trips.
 var resultByStatus = map[uint8]rules.Result{
-	0: rules.Handled, 5: rules.Errored, 11: rules.Full, 104: rules.Reset, 110: rules.TimedOut,
+	0: rules.Handled, 5: rules.Errored, 11: rules.Refused, 104: rules.Reset, 110: rules.TimedOut,
 	111: rules.NotConnected, 114: rules.NotSent, 125: rules.Cancelled,
 }
 
@@ -243,7 +243,7 @@
 	return Created{Seed: seed, Settings: decoded}, nil
 }
 
-// decodeTripEnded decodes the outcome of a trip. With rules.Full, the status detail is the requested wait in
+// decodeTripEnded decodes the outcome of a trip. With rules.Refused, the status detail is the requested wait in
 // milliseconds, unlike the wire's other times. A report has the share of the limit that is left and the limit in calls
 // per second.
 func decodeTripEnded(in *fields) (any, error) {
@@ -260,7 +260,7 @@
 		return nil, fmt.Errorf("unknown status %d", status)
 	}
 	ended.Result = result
-	if result == rules.Full {
+	if result == rules.Refused {
 		ended.RequestedWait = rules.Millis(statusDetail)
 	}
 	if len(report) >= 2 {
--- a/internal/benchwire/encode.go
+++ b/internal/benchwire/encode.go
@@ -48,7 +48,7 @@
 	case rules.Send:
 		w.header(codeIssue, 14, instance)
 		w.u32(uint32(a.Notice))
-		w.u32(toMicros(a.TimeOut))
+		w.u32(toMicros(a.Timeout))
 		w.u32(uint32(a.Receiver))
 	case rules.Dismiss:
 		w.header(codePushBack, 10, instance)
@@ -57,11 +57,11 @@
 	case rules.BreakOff:
 		w.header(codeDropRequest, 6, instance)
 		w.u32(uint32(a.Notice))
-	case rules.CallOff:
+	case rules.CancelTrip:
 		w.header(codeWithdraw, 7, instance)
 		w.u32(uint32(a.Notice))
 		w.body = append(w.body, uint8(a.Trip))
-	case rules.LetGo:
+	case rules.CloseIdleConnections:
 		w.header(codeCloseIdle, 6, instance)
 		w.u32(uint32(a.Receiver))
 	case rules.SetTimer:
@@ -71,7 +71,7 @@
 	case rules.WatchList:
 		w.header(codeStreamChanges, 3, instance)
 		w.body = append(w.body, 1)
-	case rules.Turned:
+	case rules.BreakerChanged:
 		text := a.String()
 		text = text[:min(len(text), math.MaxUint16)]
 		w.header(codeEmit, 4+uint32(len(text)), instance)
--- a/internal/calls/answers.go
+++ b/internal/calls/answers.go
@@ -244,7 +244,7 @@
 	case 200:
 		outcome.Result = rules.Handled
 	case 429, 503:
-		outcome.Result = rules.Full
+		outcome.Result = rules.Refused
 		if message.Get("x-line-busy") == "1" {
 			outcome.Result = rules.NotSent
 		} else {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -372,32 +372,32 @@
 		}
 		if l.tracing {
 			l.log.Debug(logs.Trip, "id", n.id, "notice", a.Notice, "receiver", a.Receiver,
-				"address", l.receivers.Addresses[a.Receiver], "time_out", toDuration(a.TimeOut))
+				"address", l.receivers.Addresses[a.Receiver], "time_out", toDuration(a.Timeout))
 		}
 		l.calls.Send(&calls.Call{Notice: a.Notice, Trip: n.trips, Receiver: a.Receiver, Destination: n.destination,
 			Address: l.receivers.Addresses[a.Receiver], Zone: l.receivers.Zones[a.Receiver],
-			ID: n.id, Mark: n.mark, Body: n.body, Timeout: toDuration(a.TimeOut)})
+			ID: n.id, Mark: n.mark, Body: n.body, Timeout: toDuration(a.Timeout)})
 	case rules.Write:
 		l.calls.Write(a.Notice)
 	case rules.Recall:
 		l.calls.Recall(a.Notice)
 	case rules.Dismiss:
-		if a.ForRoom {
+		if a.ForSpace {
 			l.counters.DismissedForCapacity++
 		}
 		l.endNotice(a.Notice, directory.HandedBack, a.RetryAfter)
 	case rules.BreakOff:
 		l.endNotice(a.Notice, directory.GivenUp, 0)
-	case rules.CallOff:
+	case rules.CancelTrip:
 		l.calls.Cancel(a.Notice)
-	case rules.LetGo:
+	case rules.CloseIdleConnections:
 		l.calls.CloseIdle(a.Receiver)
 	case rules.SetTimer:
 		l.timers = append(l.timers, l.now.Add(toDuration(a.After)))
 	case rules.WatchList:
 		l.directory.Watch()
-	case rules.Turned:
-		l.log.Info(logs.Breaker, "destination", a.Destination, "route", a.Route, "state", a.State, "why", a.Why)
+	case rules.BreakerChanged:
+		l.log.Info(logs.Breaker, "destination", a.Destination, "route", a.Route, "state", a.State, "why", a.Reason)
 	}
 }
 
--- a/internal/loop/outcomes.go
+++ b/internal/loop/outcomes.go
@@ -26,7 +26,7 @@
 	switch e.Result {
 	case rules.Handled:
 		l.counters.Handled++
-	case rules.Full:
+	case rules.Refused:
 		l.counters.Full++
 	case rules.Errored:
 		l.counters.Errored++
@@ -63,7 +63,7 @@
 
 // didNotRun reports whether a result proves that the trip had no effect at the receiver.
 func didNotRun(r rules.Result) bool {
-	return r == rules.Full || r == rules.NotConnected || r == rules.NotSent || r == rules.LocalShortage ||
+	return r == rules.Refused || r == rules.NotConnected || r == rules.NotSent || r == rules.LocalShortage ||
 		r == rules.Recalled
 }
 
--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -181,7 +181,7 @@
 		delete(p.notices, e.Notice)
 		return
 	}
-	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.NotSent ||
+	notRun := e.Result == rules.Refused || e.Result == rules.NotConnected || e.Result == rules.NotSent ||
 		e.Result == rules.LocalShortage
 	n.mayHaveRun = n.mayHaveRun || !notRun
 	grade := p.settings.Grades[n.Grade]
@@ -209,7 +209,7 @@
 
 // learn updates what Gradient and Breaker know of a destination from the result of a trip.
 func (p *baseline) learn(d *baselineDestination, e rules.TripEnded) {
-	failed := e.Result != rules.Handled && e.Result != rules.Full && e.Result != rules.LocalShortage
+	failed := e.Result != rules.Handled && e.Result != rules.Refused && e.Result != rules.LocalShortage
 	switch p.policy {
 	case Gradient:
 		spent := float64(max(e.Duration, 0.1))
@@ -338,7 +338,7 @@
 		receiver.inFlight++
 		d.inFlight++
 		p.emit(rules.Send{Notice: n.Notice, Receiver: receiver.id,
-			TimeOut: min(p.settings.Grades[n.Grade].QuotedTime, n.deadline-p.now)})
+			Timeout: min(p.settings.Grades[n.Grade].QuotedTime, n.deadline-p.now)})
 	}
 }
 
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -353,11 +353,11 @@
 		s.endNotice(a.Notice, "handed_back", a.RetryAfter)
 	case rules.BreakOff:
 		s.endNotice(a.Notice, "given_up", 0)
-	case rules.CallOff:
+	case rules.CancelTrip:
 		if h := s.notices[a.Notice]; h != nil && h.call != nil {
 			s.abortCall(h.call, rules.Cancelled)
 		}
-	case rules.LetGo:
+	case rules.CloseIdleConnections:
 		for _, c := range slices.Clone(s.idleConns[a.Receiver]) {
 			s.closeConn(c)
 		}
@@ -365,10 +365,10 @@
 		s.schedule(a.After, event{kind: evDeciderTimer, value: int64(s.startCount)})
 	case rules.WatchList:
 		s.post(clientNode, s.transitTime(), event{kind: evWatchList})
-	case rules.Turned:
+	case rules.BreakerChanged:
 		if s.run.record {
 			s.breakerChanges = append(s.breakerChanges, BreakerChange{At: s.now(), Sender: s.number,
-				Destination: int(a.Destination), State: a.State, Why: a.Why})
+				Destination: int(a.Destination), State: a.State, Why: a.Reason})
 		}
 	}
 }
@@ -376,7 +376,7 @@
 // send starts a trip, on an idle connection if there is one.
 func (s *sender) send(held *heldNotice, a rules.Send) {
 	c := &call{submission: held.submission, notice: held.id, receiver: a.Receiver, startedAt: s.now(),
-		timeoutAt: s.now() + a.TimeOut, inFlight: true}
+		timeoutAt: s.now() + a.Timeout, inFlight: true}
 	held.call = c
 	s.counts.trips++
 	if held.trips++; held.trips > 1 {
@@ -487,7 +487,7 @@
 	case r.malformed:
 		e.Result = rules.Reset
 	case r.status == 429 || r.status == 503:
-		e.Result, e.RequestedWait = rules.Full, r.retryAfter
+		e.Result, e.RequestedWait = rules.Refused, r.retryAfter
 	}
 	e.LimitReported, e.LimitRemaining, e.LimitRate = r.limitReported, r.limitLeft, r.limitRate
 	cn.call, cn.lastUsed = nil, s.now()
@@ -509,7 +509,7 @@
 	held.call = nil
 	e.Notice, e.Receiver, e.Duration = c.notice, c.receiver, s.now()-c.startedAt
 	e.NoticeEnded = e.NoticeEnded || e.Result == rules.Handled
-	notRun := e.Result == rules.Full || e.Result == rules.NotConnected || e.Result == rules.NotSent ||
+	notRun := e.Result == rules.Refused || e.Result == rules.NotConnected || e.Result == rules.NotSent ||
 		e.Result == rules.LocalShortage || e.Result == rules.Recalled
 	if held.tripRecorded && notRun {
 		held.mayHaveRunAt = held.mayHaveRunAt[:len(held.mayHaveRunAt)-1]
--- a/rules/api.go
+++ b/rules/api.go
@@ -115,7 +115,7 @@
 const (
 	Handled       Result = iota // delivered
 	Errored                     // the receiver responded with an error; the call may have run
-	Full                        // refused without being processed
+	Refused                     // refused without being processed
 	TimedOut                    // no response came in time; the call may have run
 	NotConnected                // no connection was established; the call did not run
 	Reset                       // the connection broke; the call may have run
@@ -161,7 +161,7 @@
 		Receiver      ReceiverID
 		Result        Result
 		Duration      Millis // duration of the call
-		RequestedWait Millis // with Full: the wait that the receiver requested; 0: none
+		RequestedWait Millis // with Refused: the wait that the receiver requested; 0: none
 		NoticeEnded   bool   // the notice has ended, by this outcome or before
 		// Unconfirmed says that the connection had carried calls before, so that the response may belong to
 		// another call: OutcomeConfirmed or OutcomeRetracted follows.
@@ -227,7 +227,7 @@
 	Send struct {
 		Notice   NoticeID
 		Receiver ReceiverID
-		TimeOut  Millis // longest duration of the trip
+		Timeout  Millis // longest duration of the trip
 	}
 	// Write sends a call whose connection was established.
 	Write struct{ Notice NoticeID }
@@ -237,17 +237,17 @@
 	Dismiss struct {
 		Notice     NoticeID
 		RetryAfter Millis // time after which the client should submit it again; 0: no advice
-		ForRoom    bool   // dismissed to free space in the hold
+		ForSpace   bool   // dismissed to free space in the hold
 	}
 	// BreakOff ends a notice that may have taken effect.
 	BreakOff struct{ Notice NoticeID }
-	// CallOff cancels an outstanding trip; its outcome is Cancelled.
-	CallOff struct {
+	// CancelTrip cancels an outstanding trip; its outcome is Cancelled.
+	CancelTrip struct {
 		Notice NoticeID
 		Trip   int // number of the trip of this notice, from 0
 	}
-	// LetGo closes this sender's idle connections to a receiver.
-	LetGo struct{ Receiver ReceiverID }
+	// CloseIdleConnections closes this sender's idle connections to a receiver.
+	CloseIdleConnections struct{ Receiver ReceiverID }
 	// SetTimer requests the event TimerDue after a time.
 	SetTimer struct {
 		After Millis
@@ -255,28 +255,28 @@
 	}
 	// WatchList starts a watch of the receiver list.
 	WatchList struct{}
-	// Turned reports, for the log, that the breaker of a route changed its state.
-	Turned struct {
-		Destination DestinationID
-		Route       ReceiverID // first receiver of the route
-		State, Why  string
+	// BreakerChanged reports, for the log, that the breaker of a route changed its state.
+	BreakerChanged struct {
+		Destination   DestinationID
+		Route         ReceiverID // first receiver of the route
+		State, Reason string
 	}
 )
 
-func (Send) action()      {}
-func (Write) action()     {}
-func (Recall) action()    {}
-func (Dismiss) action()   {}
-func (BreakOff) action()  {}
-func (CallOff) action()   {}
-func (LetGo) action()     {}
-func (SetTimer) action()  {}
-func (WatchList) action() {}
-func (Turned) action()    {}
+func (Send) action()                 {}
+func (Write) action()                {}
+func (Recall) action()               {}
+func (Dismiss) action()              {}
+func (BreakOff) action()             {}
+func (CancelTrip) action()           {}
+func (CloseIdleConnections) action() {}
+func (SetTimer) action()             {}
+func (WatchList) action()            {}
+func (BreakerChanged) action()       {}
 
 // String returns the change of state as a line for the log.
-func (t Turned) String() string {
-	return fmt.Sprintf("destination %d route %d %s: %s", t.Destination, t.Route, t.State, t.Why)
+func (b BreakerChanged) String() string {
+	return fmt.Sprintf("destination %d route %d %s: %s", b.Destination, b.Route, b.State, b.Reason)
 }
 
 // FinalAnswers returns the final answers among the actions, each a Dismiss or a BreakOff, by their notices.
--- a/rules/breaker.go
+++ b/rules/breaker.go
@@ -80,7 +80,7 @@
 	if state == closed {
 		r.outcomes = slidingWindow{}
 	}
-	s.emit(Turned{r.destination.id, r.id, string(state), why})
+	s.emit(BreakerChanged{r.destination.id, r.id, string(state), why})
 }
 
 // updateBreakers ends reset times, and opens the breaker of a silent route before its calls time out: it adds
@@ -107,7 +107,8 @@
 		}
 		if r.overdueTotal >= silentOverdueTotal && len(r.outstanding) > 1 &&
 			longestWait >= s.settings.OverloadTime/2 {
-			s.openBreaker(r, fmt.Sprintf("%d calls owed for %.0f ms", len(r.outstanding), longestWait))
+			s.openBreaker(r, fmt.Sprintf("%d calls without a response for %.0f ms", len(r.outstanding),
+				longestWait))
 		}
 	}
 }
--- a/rules/connections_test.go
+++ b/rules/connections_test.go
@@ -36,7 +36,7 @@
 	trace.note("a wait requested in the turn in which a connection comes up applies to both receivers")
 	trip := trace.outstanding[0]
 	trace.outstanding = trace.outstanding[1:]
-	trace.establishConnection(2, TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Full,
+	trace.establishConnection(2, TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Refused,
 		RequestedWait: 1000})
 	trace.establishConnection(3)
 	trace.advance(4000)
--- a/rules/exchanges.go
+++ b/rules/exchanges.go
@@ -113,7 +113,7 @@
 	d.noReuseUntil = s.now + noReuseTime
 	for _, r := range d.routes {
 		for _, other := range r.receivers {
-			s.emit(LetGo{other.id})
+			s.emit(CloseIdleConnections{other.id})
 		}
 	}
 }
--- a/rules/exchanges_test.go
+++ b/rules/exchanges_test.go
@@ -18,7 +18,7 @@
 	trace.runTurn(OutcomeRetracted{Notice: 2, Receiver: 1, SentAgo: 600})
 	trace.awaitTrip()
 	trace.note("the third notice is withdrawn before its refusal is confirmed")
-	trace.endTrip(Full, unconfirmedOutcome)
+	trace.endTrip(Refused, unconfirmedOutcome)
 	trace.runTurn(NoticeWithdrawn{3})
 	trace.advance(500)
 	trace.runTurn(OutcomeConfirmed{3})
--- a/rules/notices.go
+++ b/rules/notices.go
@@ -76,7 +76,7 @@
 	if n.mayHaveRun || n.currentCall != nil || s.now < n.unconfirmedUntil {
 		s.emit(BreakOff{n.id})
 	} else {
-		d := Dismiss{Notice: n.id, ForRoom: forSpace}
+		d := Dismiss{Notice: n.id, ForSpace: forSpace}
 		if s.settings.RetryAfter && retryAt > s.now && retryAt < never {
 			d.RetryAfter = min(retryAt-s.now, s.settings.MaxRetryAfter)
 		}
--- a/rules/odd_test.go
+++ b/rules/odd_test.go
@@ -59,10 +59,10 @@
 			e := TripEnded{Notice: trip.Notice, Receiver: trip.Receiver, Result: Result(random.IntN(8)),
 				Duration: 90}
 			n.outstanding, n.mayHaveRun = false,
-				n.mayHaveRun || e.Result != Full && e.Result != NotConnected && e.Result != NotSent
+				n.mayHaveRun || e.Result != Refused && e.Result != NotConnected && e.Result != NotSent
 			e.LimitReported, e.LimitRemaining, e.LimitRate = random.IntN(2) > 0, random.Float64(),
 				float64(random.IntN(9))
-			if e.Result == Full && list[trip.Receiver].Kind == 0 {
+			if e.Result == Refused && list[trip.Receiver].Kind == 0 {
 				e.RequestedWait = Millis(random.IntN(900))
 				waitUntil[n.Destination] = max(waitUntil[n.Destination], trace.now+e.RequestedWait)
 			}
--- a/rules/outcomes.go
+++ b/rules/outcomes.go
@@ -13,7 +13,7 @@
 	c := n.currentCall
 	n.currentCall, n.unconfirmed = nil, e.Unconfirmed
 	s.recordCall(c, e)
-	countsAsRun := e.Result != Full && e.Result != NotConnected && e.Result != NotSent &&
+	countsAsRun := e.Result != Refused && e.Result != NotConnected && e.Result != NotSent &&
 		!countsAsNoTrip(e.Result)
 	if mayStillBeRunning(e.Result) {
 		s.coolDownKey(n)
@@ -49,7 +49,7 @@
 		return
 	}
 	// The fewer of the recent further trips succeeded, the longer the delay before the next one.
-	if e.Result != Full && e.Result != NotSent && !countsAsNoTrip(e.Result) {
+	if e.Result != Refused && e.Result != NotSent && !countsAsNoTrip(e.Result) {
 		successShare := (s.succeededFurtherTrips.read(s.now, statisticsWindow) + 1) /
 			(s.furtherTrips.read(s.now, statisticsWindow) + 1)
 		n.notBefore = s.now + n.grade.QuotedTime/16*Millis(1/successShare-1)
@@ -90,7 +90,7 @@
 	}
 	s.applyRequestedWait(r, e.RequestedWait)
 	if c.pendingOutcomes == 0 && e.Result != Recalled && !s.keepsIdleConnection(c.receiver) {
-		s.emit(LetGo{c.receiver.id})
+		s.emit(CloseIdleConnections{c.receiver.id})
 	}
 	if c.recorded {
 		return
@@ -108,7 +108,7 @@
 		s.addTokens(c.receiver, 2)
 		s.updateDelayWindow(r, e.Duration)
 		s.recordSuccess(r, c)
-	case e.Result == Full:
+	case e.Result == Refused:
 		s.addTokens(c.receiver, 1)
 		s.recordRefusal(r, c, e.RequestedWait)
 	case e.Result == NotSent || e.Result == Ambiguous || countsAsNoTrip(e.Result) ||
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -97,7 +97,7 @@
 	trace := startTrace(t, testSettings(), entry(10, 1), far)
 	trace.note("rule 2: an at-most-once notice is sent again after a refusal, and never after an error")
 	trace.accept(1, NoticeAccepted{Destination: 1, Grade: 2})
-	trace.endTrip(Full)
+	trace.endTrip(Refused)
 	trace.endTrip(Errored)
 	trace.note("a numbered one is sent again in the zone where it may have run, while its mark is remembered")
 	trace.accept(1, NoticeAccepted{Destination: 1, Grade: 1})
@@ -127,7 +127,7 @@
 	trace := startTrace(t, testSettings(), entry(10, 1))
 	trace.note("rule 4: after a long requested wait, sends are spaced by the capacity of a cold destination")
 	trace.accept(1, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, requestWait(6000))
+	trace.endTrip(Refused, requestWait(6000))
 	trace.accept(30, NoticeAccepted{Destination: 1})
 	trace.advance(5900)
 	for range 6 {
@@ -139,7 +139,7 @@
 	trace := startTrace(t, testSettings(), entry(10, 1))
 	trace.note("a response to a call sent before the last sign of an outage does not end the outage")
 	trace.accept(3, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, requestWait(20_000))
+	trace.endTrip(Refused, requestWait(20_000))
 	trace.endTrip(Handled)
 	trace.advance(19_900)
 	trace.accept(4, NoticeAccepted{Destination: 1})
@@ -162,7 +162,7 @@
 	trace := startTrace(t, testSettings(), entry(10, 1), entry(11, 1), entry(20, 2))
 	trace.accept(1, NoticeAccepted{Destination: 1})
 	trace.note("rule 6: a wait applies to every receiver of the destination and to no other destination")
-	trace.endTrip(Full, requestWait(700))
+	trace.endTrip(Refused, requestWait(700))
 	trace.accept(1, NoticeAccepted{Destination: 1})
 	trace.accept(1, NoticeAccepted{Destination: 2})
 	trace.advance(1000)
@@ -175,9 +175,9 @@
 	trace.note("up to three notices share a call and its slot; the route without a fee is used first")
 	trace.accept(7, NoticeAccepted{Destination: 3})
 	trace.note("the notices of a call get different waits; the longest applies, to this route only")
-	trace.endTrip(Full, requestWait(200))
-	trace.endTrip(Full, requestWait(900))
-	trace.endTrip(Full)
+	trace.endTrip(Refused, requestWait(200))
+	trace.endTrip(Refused, requestWait(900))
+	trace.endTrip(Refused)
 	trace.advance(1000)
 }
 
@@ -211,7 +211,7 @@
 	trace.note("rule 4: 300 senders got the same wait; six notices held over 6 s are not sent when it ends,")
 	trace.note("but from a random time on, spaced by their share of the notices that all senders hold")
 	trace.accept(1, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, requestWait(6000))
+	trace.endTrip(Refused, requestWait(6000))
 	trace.accept(5, NoticeAccepted{Destination: 1})
 	trace.advance(12_000)
 }
@@ -235,7 +235,7 @@
 	trace := startTrace(t, settings, entry(10, 1))
 	trace.note("the hold fills for one unavailable destination: notices with the least credit are dismissed")
 	trace.accept(1, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, requestWait(8000))
+	trace.endTrip(Refused, requestWait(8000))
 	trace.accept(6, NoticeAccepted{Destination: 1, Grade: 2})
 	trace.accept(4, NoticeAccepted{Destination: 1})
 }
@@ -264,7 +264,7 @@
 	trace := startTrace(t, testSettings(), entry(10, 1), entry(11, 1))
 	trace.note("a reported limit of five calls a second spaces the sends, and a refusal spaces them more")
 	trace.accept(10, NoticeAccepted{Destination: 1})
-	for _, result := range []Result{Handled, Handled, Handled, Handled, Handled, Full, Handled, Handled} {
+	for _, result := range []Result{Handled, Handled, Handled, Handled, Handled, Refused, Handled, Handled} {
 		trace.endTrip(result, reportLimit(5, 0))
 	}
 }
@@ -290,7 +290,7 @@
 		trace.accept(1, NoticeAccepted{Destination: 5, TimeLeft: 1})
 	}
 	trace.accept(1, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, requestWait(8000))
+	trace.endTrip(Refused, requestWait(8000))
 	trace.accept(6, NoticeAccepted{Destination: 1, Grade: 2})
 	trace.accept(4, NoticeAccepted{Destination: 1})
 }
@@ -310,10 +310,10 @@
 	trace := startTrace(t, testSettings(), entry(10, 1))
 	trace.note("a destination that refused because of the limit is called again when the wait ends")
 	trace.accept(8, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, reportLimit(5, 0), requestWait(900))
+	trace.endTrip(Refused, reportLimit(5, 0), requestWait(900))
 	trace.advance(2000)
 	trace.note("refusals with most of the limit left are an outage: the next calls follow the recovery rate")
-	trace.endTrip(Full, reportLimit(5, 0.9), requestWait(900))
+	trace.endTrip(Refused, reportLimit(5, 0.9), requestWait(900))
 	trace.advance(4000)
 }
 
@@ -324,9 +324,9 @@
 	trace := startTrace(t, settings, entry(10, 1))
 	trace.note("with many senders, the pauses after refusals for the limit start from the requested wait")
 	trace.accept(1, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, reportLimit(5, 0), requestWait(1400))
+	trace.endTrip(Refused, reportLimit(5, 0), requestWait(1400))
 	for range 4 {
-		trace.endTrip(Full, reportLimit(5, 0))
+		trace.endTrip(Refused, reportLimit(5, 0))
 	}
 }
 
@@ -337,7 +337,7 @@
 	trace.note("refused for the limit again, with nothing handled, a destination counts as down")
 	trace.accept(3, NoticeAccepted{Destination: 1})
 	for range 4 {
-		trace.endTrip(Full, reportLimit(6, 0), requestWait(300))
+		trace.endTrip(Refused, reportLimit(6, 0), requestWait(300))
 	}
 	trace.advance(8000)
 }
@@ -446,7 +446,7 @@
 	trace.accept(5, NoticeAccepted{Destination: 1})
 	trace.advance(50)
 	for range 3 {
-		trace.endTrip(Full)
+		trace.endTrip(Refused)
 	}
 	recordState := func() {
 		r := trace.sender.routes[0]
@@ -456,7 +456,7 @@
 	recordState()
 	trace.note("refused again after the pause, with little of the limit left")
 	trace.endTrip(Handled)
-	trace.endTrip(Full, reportLimit(500, 0.1))
+	trace.endTrip(Refused, reportLimit(500, 0.1))
 	recordState()
 }
 
@@ -609,7 +609,7 @@
 	trace := startTrace(t, settings, entry(10, 1), entry(20, 2))
 	trace.note("few large notices can fill memory or ledger: those with the least credit are dismissed")
 	trace.accept(1, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, requestWait(8000))
+	trace.endTrip(Refused, requestWait(8000))
 	trace.accept(2, NoticeAccepted{Destination: 1, Grade: 2, SpaceShare: 0.3})
 	trace.accept(1, NoticeAccepted{Destination: 1, SpaceShare: 0.25})
 	trace.accept(1, NoticeAccepted{Destination: 2, SpaceShare: 0.1})
--- a/rules/same_test.go
+++ b/rules/same_test.go
@@ -83,7 +83,7 @@
 		}
 		if d := random.IntN(destinations); random.IntN(20) == 0 {
 			failsUntil[d], failure[d] = now+Millis(500+random.IntN(8000)),
-				[]Result{Errored, Full, TimedOut, NotConnected, Reset}[random.IntN(5)]
+				[]Result{Errored, Refused, TimedOut, NotConnected, Reset}[random.IntN(5)]
 		}
 		remaining := outstanding[:0]
 		for _, trip := range outstanding {
@@ -95,7 +95,7 @@
 				Duration: now - trip.sentAt}
 			e.LimitReported, e.LimitRemaining, e.LimitRate = random.IntN(2) > 0, random.Float64(),
 				float64(random.IntN(30))
-			if trip.result == Full && random.IntN(2) == 0 {
+			if trip.result == Refused && random.IntN(2) == 0 {
 				e.RequestedWait = Millis(random.IntN(900))
 			}
 			e.NoticeEnded = trip.result == Handled
@@ -114,14 +114,14 @@
 				trip := outstandingTrip{send, now, now + Millis(5+random.IntN(60)), Handled}
 				if d := destinationOf[send.Notice]; now < failsUntil[d] {
 					if trip.result = failure[d]; trip.result == TimedOut {
-						trip.endsAt = now + send.TimeOut
+						trip.endsAt = now + send.Timeout
 					}
 				} else if random.IntN(40) == 0 {
 					trip.result = Result(random.IntN(8))
 				}
 				outstanding = append(outstanding, trip)
 			}
-			if cancel, ok := a.(CallOff); ok {
+			if cancel, ok := a.(CancelTrip); ok {
 				for i := range outstanding {
 					if outstanding[i].Notice == cancel.Notice {
 						outstanding[i].result, outstanding[i].endsAt = Cancelled, now
--- a/rules/serve.go
+++ b/rules/serve.go
@@ -79,7 +79,7 @@
 	}
 	mostOverdue.cancelled = true
 	for _, n := range mostOverdue.notices {
-		s.emit(CallOff{n.id, n.trips - 1})
+		s.emit(CancelTrip{n.id, n.trips - 1})
 	}
 }
 
@@ -145,7 +145,7 @@
 		c.onIdleConnection = hasOutstandingCall || s.now-rc.lastResponseAt > s.settings.OverloadTime/4
 		if c.onIdleConnection && s.distrustsIdleConnections() {
 			c.onIdleConnection = false
-			s.emit(LetGo{rc.id})
+			s.emit(CloseIdleConnections{rc.id})
 		}
 		if r.outstanding = append(r.outstanding, c); s.suspect(r) {
 			s.suspectSlots++
--- a/rules/serve_test.go
+++ b/rules/serve_test.go
@@ -7,7 +7,7 @@
 	settings.TotalCreditWeight = 1
 	trace := startTrace(t, settings, entry(1, 1))
 	trace.accept(1, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, requestWait(5000))
+	trace.endTrip(Refused, requestWait(5000))
 	trace.accept(1, NoticeAccepted{Destination: 1, Grade: 2})
 	trace.advance(9000)
 }
--- a/rules/trace_test.go
+++ b/rules/trace_test.go
@@ -72,14 +72,14 @@
 			if trace.omitSends {
 				continue
 			}
-			trace.record("send %d to %d, time-out %.0f", a.Notice, a.Receiver, a.TimeOut)
+			trace.record("send %d to %d, time-out %.0f", a.Notice, a.Receiver, a.Timeout)
 		case Dismiss:
 			trace.record("dismiss %d, retry after %.0f", a.Notice, a.RetryAfter)
 		case BreakOff:
 			trace.record("break off %d", a.Notice)
-		case Turned:
+		case BreakerChanged:
 			trace.record("log %s", a)
-		case CallOff:
+		case CancelTrip:
 			trace.cancelled = append(trace.cancelled, a.Notice)
 			trace.record("cancel %d, trip %d", a.Notice, a.Trip)
 		case Write:
@@ -87,7 +87,7 @@
 		case Recall:
 			trace.record("recall %d", a.Notice)
 			trace.recalled = append(trace.recalled, a.Notice)
-		case LetGo:
+		case CloseIdleConnections:
 			trace.record("close idle connections to %d", a.Receiver)
 		case SetTimer:
 			trace.timerAt = trace.now + a.After
--- a/rules/waits_test.go
+++ b/rules/waits_test.go
@@ -10,7 +10,7 @@
 func TestWaitOfSeparateRouteOutlivesItsRemoval(t *testing.T) {
 	trace := startTrace(t, testSettings(), separateRouteEntry(1, Ready), separateRouteEntry(2, Draining))
 	trace.accept(1, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, requestWait(12_000))
+	trace.endTrip(Refused, requestWait(12_000))
 	trace.note("the receiver is gone, and listed again before the wait is over")
 	trace.runTurn(ListUpdated{Entries: []Entry{separateRouteEntry(1, Gone)}})
 	trace.advance(5000)
@@ -21,9 +21,9 @@
 func TestShorterWaitDoesNotReplaceLongerOne(t *testing.T) {
 	trace := startTrace(t, testSettings(), entry(1, 1), entry(2, 1))
 	trace.accept(2, NoticeAccepted{Destination: 1})
-	trace.endTrip(Full, requestWait(5000))
+	trace.endTrip(Refused, requestWait(5000))
 	trace.advance(50)
-	trace.endTrip(Full, requestWait(100))
+	trace.endTrip(Refused, requestWait(100))
 	trace.runTurn(WaitRequested{Receiver: 2, Wait: 300})
 	trace.advance(8000)
 }
