--- a/cmd/chutelab/standin.go
+++ b/cmd/chutelab/standin.go
@@ -129,7 +129,7 @@
 			}
 			if write != "" {
 				instance := environment.Instance
-				sender := config.Config{Name: "n0", Listen: serve, Discovery: listen, State: state, RandomSeed: true,
+				sender := config.Config{Name: "n0", Listen: serve, Discovery: listen, StateDir: state, RandomSeed: true,
 					Format: "text", Level: "info", Machine: instance.Machine, Settings: instance.Settings,
 					Names: instance.Names}
 				if err := os.WriteFile(write, sender.TOML(), 0o644); err != nil {
--- a/cmd/chutelab/trace.go
+++ b/cmd/chutelab/trace.go
@@ -50,7 +50,7 @@
 					if err := json.Unmarshal(lines.Bytes(), &entry); err != nil {
 						return fmt.Errorf("%s:%d: expected a log line in JSON: %w", path, line, err)
 					}
-					if entry.Message != logs.Taken {
+					if entry.Message != logs.Accepted {
 						continue
 					}
 					if entry.Key != "" && entry.Key != "0" && keys[entry.Key] == 0 {
--- a/cmd/chuteweir/serve.go
+++ b/cmd/chuteweir/serve.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.Mkdir(loaded.State, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
+	if err := os.Mkdir(loaded.StateDir, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return fmt.Errorf("creating the state directory: %w", err)
 	}
 	limits := loaded.Limits()
@@ -50,7 +50,7 @@
 		return err
 	}
 	for _, warning := range warnings {
-		log.Warn(logs.ConfigOdd, "why", warning.Error())
+		log.Warn(logs.ConfigWarning, "why", warning.Error())
 	}
 	sender.Run(loop.Signals{Shutdown: terminate, LogCounters: printCounters, Reload: reload,
 		ReadConfig: func() (loop.Config, error) {
@@ -62,6 +62,6 @@
 
 // loopConfig returns the part of a configuration that package loop uses.
 func loopConfig(loaded config.Config) loop.Config {
-	return loop.Config{Listen: loaded.Listen, Discovery: loaded.Discovery, State: loaded.State, Seed: loaded.Seed,
-		Settings: loaded.Settings, Names: loaded.Names, Known: loaded.Known, Limits: loaded.Limits()}
+	return loop.Config{Listen: loaded.Listen, Discovery: loaded.Discovery, StateDir: loaded.StateDir, Seed: loaded.Seed,
+		Settings: loaded.Settings, Names: loaded.Names, InitialList: loaded.InitialList, Limits: loaded.Limits()}
 }
--- a/cmd/chuteweir/world_test.go
+++ b/cmd/chuteweir/world_test.go
@@ -237,7 +237,7 @@
 
 // writeConfig writes the sender's configuration file, with the present address and receiver list of the platform.
 func (env *environment) writeConfig() {
-	env.config.Discovery, env.config.Known = env.platform.Address(0), env.platform.List()
+	env.config.Discovery, env.config.InitialList = env.platform.Address(0), env.platform.List()
 	text, err := env.config.Platform()
 	env.must(err)
 	env.must(os.WriteFile(env.configPath, text, 0o600))
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -182,7 +182,7 @@
 
 // connect opens a new connection for a call.
 func (p *Pool) connect(call *Call) {
-	if len(p.connections) >= p.limits.Receivers && !p.closeOldest() {
+	if len(p.connections) >= p.limits.MaxReceiverConnections && !p.closeOldest() {
 		p.finishWithResult(call, rules.LocalShortage)
 		return
 	}
--- a/internal/calls/calls_test.go
+++ b/internal/calls/calls_test.go
@@ -106,7 +106,7 @@
 	time.Sleep(time.Millisecond)
 	h.pool.SetTime(time.Now())
 	h.pool.Expire()
-	h.net.Gather()
+	h.net.Dispatch()
 	for _, up := range h.pool.Established() {
 		h.pool.Write(up.Notice)
 	}
@@ -216,7 +216,7 @@
 	<-h.accepted
 	time.Sleep(50 * time.Millisecond)
 	h.pool.SetTime(now.Add(1100 * time.Millisecond))
-	h.net.Gather()
+	h.net.Dispatch()
 	ended := h.pool.Ended()
 	if len(ended) != 1 || ended[0].Result != rules.NotConnected || h.pool.Outstanding() > 0 {
 		t.Errorf("outcomes %+v, want notice 1 not connected and no outstanding call", ended)
@@ -247,7 +247,7 @@
 // idle connection is closed first to make space.
 func TestShortages(t *testing.T) {
 	h := newHarness(t)
-	h.pool.limits.Receivers = 1
+	h.pool.limits.MaxReceiverConnections = 1
 	h.pool.SetTime(time.Now())
 	h.pool.Send(&Call{Notice: 1, Receiver: 1, Address: h.address, ID: "1", Timeout: time.Minute})
 	h.pool.Send(&Call{Notice: 2, Receiver: 2, Address: h.address, ID: "2", Timeout: time.Minute})
--- a/internal/calls/connections.go
+++ b/internal/calls/connections.go
@@ -126,7 +126,7 @@
 	switch {
 	case status == 200:
 		outcome = truncatedSuccess(conn)
-	case !begun && !(conn.established && call != nil && call.written && conn.socket.Written()):
+	case !begun && !(conn.established && call != nil && call.written && conn.socket.AllWritten()):
 		outcome.Result = rules.NotConnected
 	case isRefusal(status):
 		outcome.RequestedWait = p.remainingWait(conn, conn.parser.Message())
@@ -147,7 +147,7 @@
 // already.
 func (p *Pool) stopSending(conn *connection, reason string) {
 	responseKnown := !conn.waitUntil.IsZero() || conn.parser.Status() == 200
-	if conn.call.written && conn.socket.Written() && !responseKnown {
+	if conn.call.written && conn.socket.AllWritten() && !responseKnown {
 		conn.call, conn.receiveOnly, conn.stateSince = nil, true, p.now
 		conn.socket.CloseWrite()
 		return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,15 +20,15 @@
 
 // Config is the configuration of a sender.
 type Config struct {
-	// Listen is the address that clients connect to, Discovery is the platform's, and State is the state directory.
-	Name, Listen, Discovery, State string
-	Seed                           uint64
-	RandomSeed                     bool   // the file sets no seed, and Seed is random
-	Format, Level                  string // of the log
-	Machine                        limits.Machine
-	Settings                       rules.Settings
-	Names                          settings.Names
-	Known                          directory.List // the receivers known before discovery has listed any
+	// Listen is the address that clients connect to, Discovery is the platform's, and StateDir is the state directory.
+	Name, Listen, Discovery, StateDir string
+	Seed                              uint64
+	RandomSeed                        bool   // the file sets no seed, and Seed is random
+	Format, Level                     string // of the log
+	Machine                           limits.Machine
+	Settings                          rules.Settings
+	Names                             settings.Names
+	InitialList                       directory.List // the receivers known before discovery has listed any
 }
 
 // Limits returns the limits that follow from the machine and the settings.
@@ -47,7 +47,7 @@
 	}
 	config, faults := FromTOML(path, text)
 	if state != "" {
-		config.State = state
+		config.StateDir = state
 	}
 	return config, nil, faults.ErrorOrNil()
 }
@@ -62,7 +62,7 @@
 	file, _ := conf.Read(name, text, Table)
 	top, log, machine := file.Section(""), file.Section("log"), file.Section("machine")
 	config := Config{Name: top.Text("name"), Listen: top.Text("listen"), Discovery: top.Text("discovery"),
-		State: top.Text("state"), Format: log.Text("format"), Level: log.Text("level"),
+		StateDir: top.Text("state"), Format: log.Text("format"), Level: log.Text("level"),
 		Machine: limits.Machine{MemoryMB: int(machine.Number("memory") / (1 << 20)), Sockets: machine.Int("sockets"),
 			DiskMB: machine.Number("disk") / 1e6, Cores: machine.Number("cores")}}
 	seed, given := top.Seed("seed")
@@ -70,7 +70,7 @@
 		config.Seed = randomSeed()
 	}
 	config.Settings, config.Names = Read(file)
-	config.Known.Complete = true
+	config.InitialList.Complete = true
 	seen := map[string]bool{}
 	for _, block := range file.Sections("receiver") {
 		member := directory.Member{ID: block.Text("id"), HostPort: block.Text("address"), Locality: block.Text("zone"),
@@ -88,7 +88,7 @@
 				"one of "+joinOrNone(config.Names.Zones))
 		}
 		seen[member.ID] = true
-		config.Known.Members = append(config.Known.Members, member)
+		config.InitialList.Members = append(config.InitialList.Members, member)
 	}
 	return config, file.Faults()
 }
@@ -139,7 +139,7 @@
 	}
 	names := settings.Names{ConnectTime: span(sending, "connect_time")}
 	if left, limit := report.Text("left"), report.Text("limit"); left != "" && limit != "" {
-		names.Report = []string{left, limit}
+		names.LoadReportFields = []string{left, limit}
 	} else if left != limit {
 		file.AddFault(report, "left", "only one of left and limit is empty", "two field names, or both empty")
 	}
@@ -211,7 +211,7 @@
 // starting.
 func FromPlatform(path string, text []byte, state string) (Config, conf.Faults, error) {
 	var file platformFile
-	config := Config{State: state, Format: "text", Level: "info"}
+	config := Config{StateDir: state, Format: "text", Level: "info"}
 	if err := json.Unmarshal(text, &file); err != nil {
 		return config, nil, fmt.Errorf("%s: %w", errorLocation(path, text, err), err)
 	}
@@ -225,8 +225,8 @@
 	if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return config, nil, fmt.Errorf("%s: seed: %w", path, err)
 	}
-	config.Name, config.Listen, config.Discovery, config.Known, config.Machine = file.Name, file.Listen, file.Discovery,
-		file.Known, file.Limits
+	config.Name, config.Listen, config.Discovery, config.InitialList, config.Machine = file.Name, file.Listen,
+		file.Discovery, file.Known, file.Limits
 	return config, settingsWarnings(path, text, file.Settings), nil
 }
 
@@ -302,7 +302,7 @@
 	if err != nil {
 		return nil, err
 	}
-	known := c.Known
+	known := c.InitialList
 	if known.Members == nil {
 		known.Members = []directory.Member{}
 	}
@@ -328,7 +328,7 @@
 	writeText("name", c.Name)
 	writeText("listen", c.Listen)
 	writeText("discovery", c.Discovery)
-	writeText("state", c.State)
+	writeText("state", c.StateDir)
 	if !c.RandomSeed {
 		writeText("seed", strconv.FormatUint(c.Seed, 16))
 	}
@@ -369,8 +369,8 @@
 	writeNumber("multiple", values.OverloadFactor)
 	writeSpan("fall", values.OverloadTime)
 	writeHeader("[report]")
-	writeText("left", settings.Name(c.Names.Report, 0))
-	writeText("limit", settings.Name(c.Names.Report, 1))
+	writeText("left", settings.Name(c.Names.LoadReportFields, 0))
+	writeText("limit", settings.Name(c.Names.LoadReportFields, 1))
 	for i, grade := range values.Grades {
 		writeHeader("[[grade]]")
 		writeText("name", c.Names.Grades[i])
@@ -406,7 +406,7 @@
 			writeNumber("fee", values.ZoneFees[i])
 		}
 	}
-	for _, member := range c.Known.Members {
+	for _, member := range c.InitialList.Members {
 		writeHeader("[[receiver]]")
 		writeText("id", member.ID)
 		writeText("address", member.HostPort)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -183,7 +183,7 @@
 	lists             []rules.ListUpdated // not yet returned by TakeLists
 	watchFailed       bool                // a watch has failed since the last call of TakeLists
 	UnusableResponses int                 // number of responses that could not be used
-	LastFault         string              // the reason of the last of these, until the caller clears it
+	LastError         string              // the reason of the last of these, until the caller clears it
 
 	pending   []FinalOutcome   // not yet confirmed with status 204
 	inFlight  int              // how many of pending, from the first on, the current request contains
@@ -318,7 +318,7 @@
 // countUnusable counts a response that could not be used, and keeps the reason for the log.
 func (d *Directory) countUnusable(err error) {
 	d.UnusableResponses++
-	d.LastFault = err.Error()
+	d.LastError = err.Error()
 }
 
 // handleReportResponse processes the response to a batch of outcome reports, and reports whether the next batch can
@@ -335,7 +335,7 @@
 			d.maxBatch = d.inFlight / 2
 			return true
 		}
-		d.LastFault = fmt.Sprintf("the platform can't read the outcome report of notice %q: dropped",
+		d.LastError = fmt.Sprintf("the platform can't read the outcome report of notice %q: dropped",
 			d.pending[0].Message)
 	}
 	d.maxBatch = 0
--- a/internal/directory/exchanges_test.go
+++ b/internal/directory/exchanges_test.go
@@ -78,7 +78,7 @@
 		}
 		time.Sleep(time.Millisecond)
 		p.directory.SetTime(time.Now())
-		p.net.Gather()
+		p.net.Dispatch()
 		p.directory.Step()
 	}
 }
--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -178,7 +178,7 @@
 	default:
 		outcome.Status, outcome.TookEffect = 200, true
 	}
-	reportFields := s.instance.Names.Report
+	reportFields := s.instance.Names.LoadReportFields
 	if outcome.LimitRemaining, outcome.Limit, outcome.LimitReported = s.Core.Report(max(now, 0),
 		limitShare); outcome.LimitReported &&
 		len(reportFields) == 2 {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -11,21 +11,21 @@
 	"chuteweir.example/chuteweir/internal/buffers"
 )
 
-// Fault is the error for a message that can't be parsed, with the HTTP status to answer it with.
-type Fault struct {
+// ParseError is the error for a message that can't be parsed, with the HTTP status to answer it with.
+type ParseError struct {
 	Status int
 	Reason string
 }
 
 // Error returns the reason.
-func (f *Fault) Error() string { return f.Reason }
+func (e *ParseError) Error() string { return e.Reason }
 
 var (
-	errHeadTooLarge        = &Fault{431, "head too large"}
-	errBodyTooLarge        = &Fault{413, "body too large"}
-	errMalformed           = &Fault{400, "malformed message"}
-	errUnsupportedVersion  = &Fault{505, "version not supported"}
-	errUnsupportedEncoding = &Fault{501, "transfer encoding not supported"}
+	errHeadTooLarge        = &ParseError{431, "head too large"}
+	errBodyTooLarge        = &ParseError{413, "body too large"}
+	errMalformed           = &ParseError{400, "malformed message"}
+	errUnsupportedVersion  = &ParseError{505, "version not supported"}
+	errUnsupportedEncoding = &ParseError{501, "transfer encoding not supported"}
 	// ErrTruncated reports that the connection ended within a message.
 	ErrTruncated = errors.New("message cut short")
 )
@@ -127,7 +127,7 @@
 }
 
 // Feed parses bytes. Once the message is complete, done is true and rest holds the bytes after the message. An error is
-// a *Fault.
+// a *ParseError.
 func (p *Parser) Feed(b []byte) (rest []byte, done bool, err error) {
 	for p.state != complete {
 		if len(b) == 0 {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -29,7 +29,7 @@
 		for len(piece) > 0 {
 			rest, done, err := parser.Feed(piece)
 			if err != nil {
-				fmt.Fprintf(&out, "%v %d\n", err, err.(*Fault).Status)
+				fmt.Fprintf(&out, "%v %d\n", err, err.(*ParseError).Status)
 				return out.String()
 			}
 			if piece = rest; done {
--- a/internal/intake/clients.go
+++ b/internal/intake/clients.go
@@ -190,7 +190,7 @@
 		idle := now.Sub(client.lastActivity)
 		switch {
 		case len(client.responses) > 0: // its requests are being processed
-		case !client.conn.Written():
+		case !client.conn.AllWritten():
 			if idle > in.limits.RequestTime { // the client does not read its responses
 				in.Refused.Flooding++
 				in.closeClient(client)
@@ -205,7 +205,7 @@
 				in.abandonRequest(client, 408)
 				in.flush(client)
 			}
-		case idle > in.limits.ClientIdle || in.Leaving && client.served:
+		case idle > in.limits.ClientIdle || in.ShuttingDown && client.served:
 			if in.closeIfQuiet(client) && !client.served {
 				in.Refused.Silent++
 			}
@@ -218,7 +218,7 @@
 // complete request, those idle for longest first. Well-behaved clients are rarely affected: their request follows
 // directly after they connect.
 func (in *Intake) CloseIdleClients() {
-	excessClients, excessBytes := len(in.clients)-in.limits.CrowdedAt, -in.limits.PartialBytes
+	excessClients, excessBytes := len(in.clients)-in.limits.CloseIdleAbove, -in.limits.PartialBytes
 	if excessClients <= 0 &&
 		len(in.partial) <= in.limits.PartialBytes/(in.limits.Head+in.limits.Body+2*in.limits.Buffer) {
 		return // so few partial requests can't exceed the memory limit
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -40,7 +40,7 @@
 type Refusals struct {
 	// Requests that were answered with an error status: they can't be parsed, name an unknown grade or destination,
 	// have an invalid method or header, were not received completely in time, or came during the shutdown.
-	Unreadable, Unknown, Malformed, Late, Leaving int
+	Unreadable, Unknown, Malformed, Late, DuringShutdown int
 	// Connections that were closed: no request came in time, there were too many connections or partial requests, or
 	// the client did not read its responses or sent more than allowed.
 	Silent, Crowded, Flooding int
@@ -58,9 +58,9 @@
 	submitted        []*Request           // not yet returned by Take
 	now              time.Time
 	writeBuffer      []byte
-	// Leaving is set at shutdown: every response is then the last on its connection, and every notice is refused.
-	Leaving bool
-	Refused Refusals
+	// ShuttingDown is set at shutdown: every response is then the last on its connection, and every notice is refused.
+	ShuttingDown bool
+	Refused      Refusals
 }
 
 // New returns an Intake without clients. known reports whether a destination exists, and counters renders the page of
@@ -129,9 +129,9 @@
 // refuseUnreadable answers a request that can't be parsed, with the status that the parser suggests, or 400.
 func (in *Intake) refuseUnreadable(client *clientConn, err error) {
 	status := 400
-	var fault *http1.Fault
-	if errors.As(err, &fault) {
-		status = fault.Status
+	var parseError *http1.ParseError
+	if errors.As(err, &parseError) {
+		status = parseError.Status
 	}
 	in.Refused.Unreadable++
 	in.abandonRequest(client, status)
@@ -153,9 +153,9 @@
 		message.Body.Free()
 		in.Refused.Malformed++
 		in.refuse(client, pending, 405)
-	case in.Leaving:
+	case in.ShuttingDown:
 		message.Body.Free()
-		in.Refused.Leaving++
+		in.Refused.DuringShutdown++
 		in.refuse(client, pending, 503)
 	default:
 		request, status := in.parseNotice(message, path)
@@ -181,7 +181,7 @@
 		client.readStopped, client.flooding = true, true
 	}
 	mode := keepOpen
-	if in.Leaving || client.flooding {
+	if in.ShuttingDown || client.flooding {
 		mode = closeWhenQuiet
 	}
 	switch {
@@ -192,7 +192,7 @@
 	case path == "/counters":
 		pending.body = in.countersPage()
 		pending.finish(200, mode)
-	case in.Leaving:
+	case in.ShuttingDown:
 		pending.finish(503, mode)
 	default:
 		pending.finish(200, mode)
@@ -270,7 +270,7 @@
 			Value: strconv.FormatFloat(float64(retryAfter)/1000, 'f', 3, 64)})
 	}
 	mode := keepOpen
-	if in.Leaving {
+	if in.ShuttingDown {
 		mode = closeWhenQuiet
 	}
 	request.response.finish(status, mode)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -33,12 +33,12 @@
 	HeldBytes         int // bytes of the bodies of all notices held
 	PartialBytes      int // bytes of all incomplete requests
 
-	Clients              int // connections from clients; further ones wait in the kernel
-	CrowdedAt            int // above this number of client connections, those idle for longest are closed
-	PagesPerTurn         int // pages served on one connection in one turn; after the last, the connection is closed
-	RefusedPerConnection int // after this many refused requests on one connection, nothing more is read from it
-	MaxDiscarded         int // bytes read and discarded from a client after a request that can't be parsed
-	Receivers            int // connections to receivers
+	MaxClients             int // connections from clients; further ones wait in the kernel
+	CloseIdleAbove         int // above this number of client connections, those idle for longest are closed
+	PagesPerTurn           int // pages served on one connection in one turn; after the last, the connection is closed
+	RefusedPerConnection   int // after this many refused requests on one connection, nothing more is read from it
+	MaxDiscarded           int // bytes read and discarded from a client after a request that can't be parsed
+	MaxReceiverConnections int // connections to receivers
 
 	RequestTime        time.Duration // from the first byte of a request to the last
 	FirstRequestTime   time.Duration // from a client's connecting to the last byte of its first request
@@ -124,9 +124,9 @@
 	}
 	// A new connection to a receiver briefly holds two descriptors, and the runtime, the ledger and discovery need
 	// some. Under usual load, clients hold a third of the descriptors for their requests.
-	limits.Clients = max(machine.Sockets*9/16, 8)
-	limits.CrowdedAt = limits.Clients * 3 / 4
-	limits.Receivers = max(machine.Sockets/4, 8)
+	limits.MaxClients = max(machine.Sockets*9/16, 8)
+	limits.CloseIdleAbove = limits.MaxClients * 3 / 4
+	limits.MaxReceiverConnections = max(machine.Sockets/4, 8)
 	if limits.ConnectTime <= 0 {
 		limits.ConnectTime = time.Second
 	}
--- a/internal/logs/events.go
+++ b/internal/logs/events.go
@@ -8,28 +8,28 @@
 
 // The names of the log events. They and their keys are stable across versions.
 const (
-	Ready          = "ready"
-	Leaving        = "leaving"
-	CountersLine   = "counters"
-	Breaker        = "breaker"
-	Reloaded       = "reloaded"
-	ReloadRefused  = "reload_refused"
-	ConfigOdd      = "config_odd"
-	SlotsCapped    = "slots_capped"
-	PlatformBroken = "platform_broken"
-	LedgerTorn     = "ledger_torn"
-	LedgerFailed   = "ledger_failed"
-	ClockStepped   = "clock_stepped"
-	LinesDropped   = "lines_dropped"
-	LeftOut        = "left_out"
+	Ready                    = "ready"
+	ShuttingDown             = "leaving"
+	CountersLine             = "counters"
+	Breaker                  = "breaker"
+	Reloaded                 = "reloaded"
+	ReloadRefused            = "reload_refused"
+	ConfigWarning            = "config_odd"
+	SlotsCapped              = "slots_capped"
+	PlatformResponseUnusable = "platform_broken"
+	LedgerTorn               = "ledger_torn"
+	LedgerFailed             = "ledger_failed"
+	ClockStepped             = "clock_stepped"
+	LinesDropped             = "lines_dropped"
+	LinesOmitted             = "left_out"
 
-	Taken    = "taken"
-	Restored = "restored"
-	Refused  = "refused"
-	Trip     = "trip"
-	Outcome  = "outcome"
-	Ended    = "ended"
-	Closed   = "closed"
+	Accepted        = "taken"
+	Restored        = "restored"
+	Refused         = "refused"
+	Trip            = "trip"
+	Outcome         = "outcome"
+	Ended           = "ended"
+	ReportConfirmed = "closed"
 
 	WrittenInWait    = "written_in_wait"
 	Connecting       = "connecting"
@@ -54,7 +54,7 @@
 var Events = []Event{
 	{Ready, "info", []string{"listen", "receivers", "restored"}, false,
 		"the sender accepts requests; `restored` is the number of pending notices of earlier processes"},
-	{Leaving, "info", []string{"held", "out"}, false,
+	{ShuttingDown, "info", []string{"held", "out"}, false,
 		"the sender is shutting down; it holds `held` notices, and `out` calls are in flight"},
 	{CountersLine, "info", []string{"sender", "held", "owed"}, false,
 		"all counters since the start, at SIGUSR1 and at exit; `owed` is the number of pending outcome reports"},
@@ -64,11 +64,11 @@
 		"SIGHUP: the configuration was reloaded; `owed` outcome reports are pending and go to the new address"},
 	{ReloadRefused, "error", []string{"why"}, false,
 		"SIGHUP: the configuration file is unusable, one line for each fault; the old configuration stays in force"},
-	{ConfigOdd, "warn", []string{"why"}, false,
+	{ConfigWarning, "warn", []string{"why"}, false,
 		"a value in the platform's file makes no sense; the sender continues"},
 	{SlotsCapped, "warn", []string{"slots", "connections", "capped"}, false,
 		"more slots are configured than the number of connections to receivers allows, which is a quarter of the file descriptors; the number of slots used is `capped`"},
-	{PlatformBroken, "warn", []string{"why"}, true,
+	{PlatformResponseUnusable, "warn", []string{"why"}, true,
 		"a response of the platform was unusable; the last receiver list stays valid, outcome reports are sent again"},
 	{LedgerTorn, "warn", []string{"bytes"}, false,
 		"the end of the ledger could not be read, because the previous process was killed during a write"},
@@ -80,9 +80,9 @@
 		"a call was written while its destination had requested a wait: `left` is the rest of that wait, `begun_ago` the time since the decision to make the call"},
 	{LinesDropped, "warn", []string{"count"}, false,
 		"`count` log lines were lost, because the reader of standard error did not keep up"},
-	{LeftOut, "info", []string{"event", "count"}, false,
+	{LinesOmitted, "info", []string{"event", "count"}, false,
 		"`count` lines of a sampled event were omitted, because it was logged too often"},
-	{Taken, "debug", []string{"id", "notice", "grade", "portfolio", "key", "destination", "body", "left"}, false,
+	{Accepted, "debug", []string{"id", "notice", "grade", "portfolio", "key", "destination", "body", "left"}, false,
 		"a notice was accepted"},
 	{Restored, "debug", []string{"id", "notice", "trips", "may_have_run", "left"}, false,
 		"a pending notice of an earlier process was passed to the decision module; `left` is the time that remains for it"},
@@ -111,7 +111,7 @@
 		"a trip ended"},
 	{Ended, "debug", []string{"id", "notice", "outcome", "retry_in_ms"}, false,
 		"a notice got a final answer other than handled"},
-	{Closed, "debug", []string{"notice"}, false,
+	{ReportConfirmed, "debug", []string{"notice"}, false,
 		"the platform confirmed the outcome report of the notice; nothing more is pending for it"},
 }
 
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -94,7 +94,7 @@
 			}
 		case now := <-ticker.C:
 			for name, omitted := range w.endIntervals(now) {
-				w.logEvent(handler, slog.LevelInfo, LeftOut, slog.String("event", name), slog.Int("count", omitted))
+				w.logEvent(handler, slog.LevelInfo, LinesOmitted, slog.String("event", name), slog.Int("count", omitted))
 			}
 		}
 	}
--- a/internal/loop/admission.go
+++ b/internal/loop/admission.go
@@ -139,7 +139,7 @@
 		}
 		l.counters.Accepted++
 		if l.tracing {
-			l.log.Debug(logs.Taken, "id", r.ID, "notice", number,
+			l.log.Debug(logs.Accepted, "id", r.ID, "notice", number,
 				"grade", settings.Name(l.config.Names.Grades, int(r.Grade)),
 				"portfolio", settings.Name(l.config.Names.Portfolios, int(r.Portfolio)),
 				"key", strconv.FormatUint(uint64(r.Key), 10),
--- a/internal/loop/counters.go
+++ b/internal/loop/counters.go
@@ -62,7 +62,7 @@
 		slog.Int("refused_no_room", c.OverCapacity),
 		slog.Int("refused_unreadable", c.Unreadable), slog.Int("refused_unknown", c.Unknown),
 		slog.Int("refused_malformed", c.Malformed), slog.Int("refused_late", c.Late),
-		slog.Int("refused_leaving", c.Leaving), slog.Int("closed_silent", c.Silent),
+		slog.Int("refused_leaving", c.DuringShutdown), slog.Int("closed_silent", c.Silent),
 		slog.Int("closed_crowded", c.Crowded), slog.Int("closed_flooding", c.Flooding),
 		slog.Int("refused_hold", c.OverHoldLimit), slog.Int("refused_bodies", c.OverBodyMemory),
 		slog.Int("refused_ledger", c.OverLedgerCapacity),
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -25,15 +25,15 @@
 	"chuteweir.example/chuteweir/rules"
 )
 
-// Config is the configuration of a sender. Listen and Discovery are network addresses, State is the state
-// directory, and Known is the receiver list to start with.
+// Config is the configuration of a sender. Listen and Discovery are network addresses, StateDir is the state
+// directory, and InitialList is the receiver list to start with.
 type Config struct {
-	Listen, Discovery, State string
-	Seed                     uint64
-	Settings                 rules.Settings
-	Names                    settings.Names
-	Known                    directory.List
-	Limits                   limits.Limits
+	Listen, Discovery, StateDir string
+	Seed                        uint64
+	Settings                    rules.Settings
+	Names                       settings.Names
+	InitialList                 directory.List
+	Limits                      limits.Limits
 }
 
 // heldNotice is a notice that still needs a delivery or a final outcome, that has a trip in flight, or whose last
@@ -97,8 +97,9 @@
 	}
 	// Each call needs a connection, and a sixteenth of the connections is left for those that are still receiving the
 	// rest of a response. Slots beyond that could not be used.
-	if maxSlots := c.Limits.Receivers - c.Limits.Receivers/16; l.config.Settings.Slots > maxSlots {
-		log.Warn(logs.SlotsCapped, "slots", l.config.Settings.Slots, "connections", c.Limits.Receivers,
+	if maxSlots := c.Limits.MaxReceiverConnections -
+		c.Limits.MaxReceiverConnections/16; l.config.Settings.Slots > maxSlots {
+		log.Warn(logs.SlotsCapped, "slots", l.config.Settings.Slots, "connections", c.Limits.MaxReceiverConnections,
 			"capped", maxSlots)
 		l.config.Settings.Slots = maxSlots
 	}
@@ -110,10 +111,10 @@
 	l.sender = rules.New(c.Seed, l.config.Settings)
 	l.intake = intake.New(c.Limits, l.buffers, c.Names, l.receivers.Knows,
 		func() string { return l.currentCounters().Page() })
-	l.calls = calls.New(c.Limits, l.buffers, c.Names.Report, log, calls.Hooks{
+	l.calls = calls.New(c.Limits, l.buffers, c.Names.LoadReportFields, log, calls.Hooks{
 		Record: l.recordTrip, ConfirmTime: l.confirmTime, WaitsToSettle: l.waitsToSettle})
-	l.directory = directory.New(c.Discovery, c.Limits, l.buffers, l.receivers, c.Known.Revision)
-	known := c.Known
+	l.directory = directory.New(c.Discovery, c.Limits, l.buffers, l.receivers, c.InitialList.Revision)
+	known := c.InitialList
 	known.Complete = true
 	listed, err := l.receivers.Apply(known)
 	if err != nil {
@@ -121,7 +122,7 @@
 	}
 	l.events = append(l.events, listed)
 	var pending []ledger.Notice
-	if l.ledger, pending, err = ledger.Open(c.State, c.Limits.Disk); err != nil {
+	if l.ledger, pending, err = ledger.Open(c.StateDir, c.Limits.Disk); err != nil {
 		return nil, err
 	}
 	if l.ledger.Torn > 0 {
@@ -173,8 +174,8 @@
 		case <-signals.Shutdown:
 			if l.shutdownAt.IsZero() {
 				l.shutdownAt = time.Now()
-				l.intake.Leaving = true
-				l.log.Info(logs.Leaving, "held", len(l.notices), "out", l.calls.Outstanding())
+				l.intake.ShuttingDown = true
+				l.log.Info(logs.ShuttingDown, "held", len(l.notices), "out", l.calls.Outstanding())
 			}
 		}
 		// A busy sender waits here, so that one turn processes the events of a short period together.
@@ -190,7 +191,7 @@
 	}
 	// A request that the poller has read in the meantime is rejected. One that it has not read was never accepted,
 	// and its client can submit it elsewhere.
-	l.net.Seal()
+	l.net.StopReading()
 	for _, r := range l.intake.Take() {
 		l.reject(r, 503)
 	}
@@ -221,7 +222,7 @@
 	l.arrivals.startTurn(l.now)
 	l.calls.BeginTurn(l.now)
 	l.setTime(l.now)
-	l.net.Gather()
+	l.net.Dispatch()
 	// Requested waits begin at this time: the responses just read may have arrived after the turn began.
 	l.setTime(time.Now())
 	l.intake.CloseIdleClients()
@@ -255,7 +256,7 @@
 	}
 	for _, number := range l.directory.TakeConfirmed() {
 		if l.tracing {
-			l.log.Debug(logs.Closed, "notice", number)
+			l.log.Debug(logs.ReportConfirmed, "notice", number)
 		}
 		l.logLedgerError(l.ledger.RecordClosed(number))
 	}
@@ -319,9 +320,9 @@
 	for _, receiver := range l.receivers.TakeRemoved() {
 		l.calls.RemoveReceiver(receiver)
 	}
-	if l.directory.LastFault != "" {
-		l.log.Warn(logs.PlatformBroken, "why", l.directory.LastFault)
-		l.directory.LastFault = ""
+	if l.directory.LastError != "" {
+		l.log.Warn(logs.PlatformResponseUnusable, "why", l.directory.LastError)
+		l.directory.LastError = ""
 	}
 	if failed && l.config.Settings.WatchOnRequest {
 		l.directory.Stop()
@@ -407,7 +408,7 @@
 	c.Refusals = l.intake.Refused
 	c.OverCapacity = c.OverHoldLimit + c.OverBodyMemory + c.OverLedgerCapacity
 	c.CallsInFlight, c.NoticesHeld = l.calls.Outstanding(), len(l.notices)-l.awaitingConfirmation
-	c.Rejected = c.Unreadable + c.Unknown + c.Malformed + c.Late + c.Leaving + c.RepeatedIDs + c.OverCapacity
+	c.Rejected = c.Unreadable + c.Unknown + c.Malformed + c.Late + c.DuringShutdown + c.RepeatedIDs + c.OverCapacity
 	c.MalformedPlatformResponses, c.UnreadBuffers = l.directory.UnusableResponses, l.net.DiscardedBuffers()
 	c.Connections = l.calls.ConnectionsOpened()
 	c.UnusableResponses, c.TrailingBytes, c.StaleConnections, c.Unsolicited =
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -98,7 +98,7 @@
 	s := &sender{port: p, run: run, number: number, notices: map[rules.NoticeID]*heldNotice{},
 		timeoutCheckAt: never, initialList: run.initialList}
 	s.limits = limits.For(run.Machine, run.Settings, connectTime)
-	s.connLimit = s.limits.Receivers
+	s.connLimit = s.limits.MaxReceiverConnections
 	s.start()
 	return s
 }
@@ -110,7 +110,7 @@
 func (s *sender) start() {
 	s.startCount++
 	settings := s.run.Settings
-	settings.Slots = min(settings.Slots, s.limits.Receivers-s.limits.Receivers/16)
+	settings.Slots = min(settings.Slots, s.limits.MaxReceiverConnections-s.limits.MaxReceiverConnections/16)
 	settings.MaxPause = toMillis(s.limits.MaxPause)
 	for i := range settings.Kinds {
 		settings.Kinds = slices.Clone(settings.Kinds)
@@ -251,7 +251,7 @@
 		s.paused = true
 		s.senderEvents = append(s.senderEvents, audit.SenderEvent{Sender: s.number, What: "frozen", At: s.now()})
 	case evDescriptorLimit:
-		if s.connLimit = s.limits.Receivers; e.value >= 0 {
+		if s.connLimit = s.limits.MaxReceiverConnections; e.value >= 0 {
 			s.connLimit = min(s.connLimit, len(s.conns)+int(e.value))
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -44,7 +44,7 @@
 		receiverClient: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: 64, IdleConnTimeout: 8 * time.Second, DisableCompression: true}},
 		platformClient: &http.Client{}}
-	for _, m := range c.Known.Members {
+	for _, m := range c.InitialList.Members {
 		r.members[m.ID] = m
 	}
 	r.indexReady()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -92,7 +92,7 @@
 // and the settings that only the socket code needs.
 type Names struct {
 	Grades, Portfolios, Kinds, Zones []string
-	Report                           []string // the fields of a load report, in the order that package rules reads them
+	LoadReportFields                 []string // the fields of a load report, in the order that package rules reads them
 	ConnectTime                      rules.Millis
 }
 
@@ -118,7 +118,7 @@
 	if err := json.Unmarshal(text, &opts); err != nil {
 		return rules.Settings{}, Names{}, err
 	}
-	names := Names{Kinds: opts.Kinds, Zones: opts.Zones, Report: opts.Reporting.Fields,
+	names := Names{Kinds: opts.Kinds, Zones: opts.Zones, LoadReportFields: opts.Reporting.Fields,
 		ConnectTime: opts.Limits.ConnectTime.millis()}
 	decoded := rules.Settings{
 		ZoneFees:          opts.FamilyInfo.FeeByZone,
@@ -240,7 +240,7 @@
 		}
 		opts.Classes = append(opts.Classes, c)
 	}
-	opts.Kinds, opts.Zones, opts.Reporting.Fields = names.Kinds, names.Zones, names.Report
+	opts.Kinds, opts.Zones, opts.Reporting.Fields = names.Kinds, names.Zones, names.LoadReportFields
 	for _, kind := range from.Kinds {
 		opts.FamilyInfo.PerCall = append(opts.FamilyInfo.PerCall, kind.PerCall)
 		opts.FamilyInfo.SeparateRoutes = append(opts.FamilyInfo.SeparateRoutes, kind.SeparateRoutes)
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -28,12 +28,12 @@
 	writeTotal        int64 // bytes given to Write so far
 
 	// State that is shared with nbio's goroutines.
-	sentTotal     atomic.Int64 // bytes passed to the kernel so far
-	writePending  atomic.Bool  // some written bytes have not been passed to the kernel yet
-	queuedBuffers atomic.Int32 // buffers that were read and not yet passed to the owner
-	window        atomic.Int64 // bytes that the poller may read at a client connection's next event
-	reading       atomic.Bool  // the poller may be reading bytes that are not queued yet
-	sealed        atomic.Bool  // the poller must not read any more
+	sentTotal      atomic.Int64 // bytes passed to the kernel so far
+	writePending   atomic.Bool  // some written bytes have not been passed to the kernel yet
+	queuedBuffers  atomic.Int32 // buffers that were read and not yet passed to the owner
+	window         atomic.Int64 // bytes that the poller may read at a client connection's next event
+	reading        atomic.Bool  // the poller may be reading bytes that are not queued yet
+	readingStopped atomic.Bool  // the poller must not read any more
 }
 
 // Dial starts to connect to an address. At most maxRead bytes are read per event, which must be enough for the largest
@@ -78,7 +78,7 @@
 		_, err = c.nb.Write(b) // closes the connection if it fails or too many bytes wait to be written
 		return err != nil
 	})
-	if err == nil && !c.Written() {
+	if err == nil && !c.AllWritten() {
 		c.writePending.Store(true)
 		c.net.pendingWrites[c] = true
 	}
@@ -92,7 +92,7 @@
 	if c.closed {
 		return
 	}
-	if c.resumeBytes = 0; !c.Written() {
+	if c.resumeBytes = 0; !c.AllWritten() {
 		c.resumeBytes = bytes
 		return
 	}
@@ -115,8 +115,8 @@
 // allDelivered reports whether all bytes that were read have been passed to the owner.
 func (c *Conn) allDelivered() bool { return !c.reading.Load() && !c.HasQueuedData() }
 
-// Written reports whether all bytes that were written have been passed to the kernel.
-func (c *Conn) Written() bool { return c.sentTotal.Load() >= c.writeTotal }
+// AllWritten reports whether all bytes that were written have been passed to the kernel.
+func (c *Conn) AllWritten() bool { return c.sentTotal.Load() >= c.writeTotal }
 
 // NothingUnread reports whether nothing has arrived that the owner has not received yet: neither bytes nor the end of
 // the connection.
@@ -148,14 +148,14 @@
 	}
 	noneUnread := false
 	c.withDescriptor(func(fd int) {
-		c.sealed.Store(true)
+		c.readingStopped.Store(true)
 		noneUnread = c.allDelivered() && nothingUnread(fd)
-		c.sealed.Store(noneUnread)
+		c.readingStopped.Store(noneUnread)
 	})
 	if noneUnread {
 		c.Close()
 	} else {
-		c.rearm() // the poller may have skipped an event while the connection was sealed
+		c.rearm() // the poller may have skipped an event while reading was stopped
 	}
 	return noneUnread
 }
@@ -182,7 +182,7 @@
 	if c.cancel != nil {
 		c.cancel()
 	}
-	if c.opened { // otherwise Gather closes it when it receives the opened event
+	if c.opened { // otherwise Dispatch closes it when it receives the opened event
 		c.closeDescriptor()
 	}
 }
@@ -199,7 +199,7 @@
 // CloseWrite shuts down the sending side once all written bytes have been passed to the kernel, so that the peer can
 // read them.
 func (c *Conn) CloseWrite() {
-	if c.closeWritePending = !c.Written(); c.closeWritePending {
+	if c.closeWritePending = !c.AllWritten(); c.closeWritePending {
 		return
 	}
 	c.withDescriptor(func(fd int) { syscall.Shutdown(fd, syscall.SHUT_WR) })
--- a/internal/sockets/reading.go
+++ b/internal/sockets/reading.go
@@ -68,12 +68,13 @@
 	}
 }
 
-// beginRead reports whether the poller may read a connection. The owner goroutine sets sealed before it checks
-// reading, and the poller sets reading before it checks sealed: at least one of them sees the other's change.
+// beginRead reports whether the poller may read a connection. The owner goroutine sets readingStopped before it
+// checks reading, and the poller sets reading before it checks readingStopped: at least one of them sees the other's
+// change.
 func (n *Net) beginRead(c *Conn) bool {
 	n.activeReads.Add(1)
 	c.reading.Store(true)
-	return !c.sealed.Load() && !n.sealed.Load()
+	return !c.readingStopped.Load() && !n.readingStopped.Load()
 }
 
 // endRead marks the end of a read that beginRead started.
@@ -82,22 +83,22 @@
 	n.activeReads.Add(-1)
 }
 
-// Seal stops all reading and passes everything read before to the owners. Bytes that arrive later stay in the kernel,
-// which resets their connections when they are closed, so that the peers know that the bytes were not read.
-func (n *Net) Seal() {
-	n.sealed.Store(true)
+// StopReading stops all reading and passes everything read before to the owners. Bytes that arrive later stay in the
+// kernel, which resets their connections when they are closed, so that the peers know that the bytes were not read.
+func (n *Net) StopReading() {
+	n.readingStopped.Store(true)
 	for {
 		reading := n.activeReads.Load() > 0
-		n.Gather()
+		n.Dispatch()
 		if !reading {
 			return
 		}
-		time.Sleep(sealPollInterval)
+		time.Sleep(stopPollInterval)
 	}
 }
 
-// sealPollInterval is how long Seal waits between checks whether the poller is still reading.
-const sealPollInterval = 100 * time.Microsecond
+// stopPollInterval is how long StopReading waits between checks whether the poller is still reading.
+const stopPollInterval = 100 * time.Microsecond
 
 // DiscardedBuffers returns the number of buffers that were read and then discarded because the owner had closed the
 // connection.
--- a/internal/sockets/reuse_test.go
+++ b/internal/sockets/reuse_test.go
@@ -52,7 +52,7 @@
 	return client.(*net.TCPConn), s.nextOpened()
 }
 
-// nextOpened calls Gather until one more connection has been opened, and returns it.
+// nextOpened calls Dispatch until one more connection has been opened, and returns it.
 func (s *reuseFixture) nextOpened() *Conn {
 	s.t.Helper()
 	before := len(s.owner.opened)
@@ -61,7 +61,7 @@
 			return s.owner.opened[before]
 		}
 		time.Sleep(time.Millisecond)
-		s.net.Gather()
+		s.net.Dispatch()
 	}
 	s.t.Fatal("no connection opened")
 	return nil
@@ -87,7 +87,7 @@
 	client.SetLinger(0)
 	client.Close()
 	time.Sleep(settleTime)
-	s.net.Gather() // the poller continues until it has read the other connection's byte
+	s.net.Dispatch() // the poller continues until it has read the other connection's byte
 	time.Sleep(settleTime)
 }
 
@@ -137,7 +137,7 @@
 				}
 				for range 10 {
 					time.Sleep(settleTime / 10)
-					s.net.Gather()
+					s.net.Dispatch()
 				}
 				if why, ended := s.owner.closed[next]; ended {
 					t.Errorf("the next connection was closed by an event of the old one: %v", why)
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,6 +1,6 @@
 // Package sockets connects nbio's event loop to the sender's own. nbio's goroutines (the poller, the listener and the
 // dialling goroutines) put everything that happens on a connection into one queue. The owner goroutine, which is the
-// one that runs the sender's loop, empties the queue by calling Gather, which calls the connections' owners.
+// one that runs the sender's loop, empties the queue by calling Dispatch, which calls the connections' owners.
 package sockets
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// Owner handles the events of its connections. Its methods are called by Gather, on the owner goroutine only.
+// Owner handles the events of its connections. Its methods are called by Dispatch, on the owner goroutine only.
 type Owner interface {
 	// Opened reports that the connection is established.
 	Opened(c *Conn)
@@ -26,7 +26,7 @@
 	Closed(c *Conn, err error)
 }
 
-// event is something that happened on a connection and that Gather has yet to handle.
+// event is something that happened on a connection and that Dispatch has yet to handle.
 type event struct {
 	conn     *Conn
 	opened   bool
@@ -46,14 +46,14 @@
 
 	mu          sync.Mutex
 	spaceFreed  *sync.Cond    // a client connection was closed, the queue was emptied, or the Net stops
-	queue       []event       // events for the next Gather
+	queue       []event       // events for the next Dispatch
 	queuedBytes int           // capacity of the buffers in queue
-	spare       []event       // empty slice that replaces queue in Gather, so that two arrays are reused
+	spare       []event       // empty slice that replaces queue in Dispatch, so that two arrays are reused
 	ready       chan struct{} // see Ready
 	stopped     bool
 
-	sealed      atomic.Bool  // nothing more may be read on any connection
-	activeReads atomic.Int32 // connections that the poller may be reading
+	readingStopped atomic.Bool  // nothing more may be read on any connection
+	activeReads    atomic.Int32 // connections that the poller may be reading
 
 	discarded     int            // see DiscardedBuffers; used on the owner goroutine only
 	pendingWrites map[*Conn]bool // connections with bytes that wait to be written; used on the owner goroutine only
@@ -66,7 +66,7 @@
 	n.spaceFreed = sync.NewCond(&n.mu)
 	logging.SetLevel(logging.LevelNone)
 	// nbio's table of connections has this size. Its index is the descriptor number, and other files are open, too.
-	nbio.MaxOpenFiles = lim.Clients + lim.Receivers + 1024
+	nbio.MaxOpenFiles = lim.MaxClients + lim.MaxReceiverConnections + 1024
 	n.engine = nbio.NewEngine(nbio.Config{
 		Network: nbio.NETWORK_TCP, Addrs: []string{address}, NPoller: 1,
 		ReadBufferSize: lim.Buffer, MaxWriteBufferSize: lim.ReceiverListBytes,
@@ -162,7 +162,7 @@
 func (l *cappedListener) Accept() (net.Conn, error) {
 	n := l.net
 	n.mu.Lock()
-	for n.clients >= n.limits.Clients && !n.stopped {
+	for n.clients >= n.limits.MaxClients && !n.stopped {
 		n.spaceFreed.Wait()
 	}
 	n.mu.Unlock()
@@ -190,11 +190,11 @@
 	}
 }
 
-// Ready returns a channel that receives a value when there are events for Gather.
+// Ready returns a channel that receives a value when there are events for Dispatch.
 func (n *Net) Ready() <-chan struct{} { return n.ready }
 
-// Gather passes all queued events to the connections' owners and continues writes that were incomplete.
-func (n *Net) Gather() {
+// Dispatch passes all queued events to the connections' owners and continues writes that were incomplete.
+func (n *Net) Dispatch() {
 	n.mu.Lock()
 	events := n.queue
 	n.queue, n.queuedBytes, n.spare = n.spare[:0], 0, nil
@@ -236,7 +236,7 @@
 // continueWriting asks for the next event of a connection with bytes left to write, because nbio does not do so after
 // a partial write. When no bytes are left, it performs the CloseWrite or Resume that waited for this.
 func (n *Net) continueWriting(c *Conn) {
-	if !c.closed && !c.Written() {
+	if !c.closed && !c.AllWritten() {
 		c.rearm()
 		return
 	}
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -57,12 +57,12 @@
 			}()
 		}
 		for until := time.Now().Add(2 * time.Millisecond); time.Now().Before(until); {
-			n.Gather()
+			n.Dispatch()
 			owner.closeOpened()
 		}
 		clients.Wait()
 	}
-	n.Seal()
+	n.StopReading()
 	return n.DiscardedBuffers()
 }
 
@@ -102,10 +102,10 @@
 	return n
 }
 
-// gatherUntil calls Gather until a condition holds, for two seconds at most, and reports whether it held.
-func gatherUntil(n *Net, condition func() bool) bool {
+// dispatchUntil calls Dispatch until a condition holds, for two seconds at most, and reports whether it held.
+func dispatchUntil(n *Net, condition func() bool) bool {
 	for until := time.Now().Add(2 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if n.Gather(); condition() {
+		if n.Dispatch(); condition() {
 			return true
 		}
 	}
@@ -129,11 +129,11 @@
 	n := startCollector(t, o)
 	sendMiB(t, n)
 	never := func() bool { return false }
-	if gatherUntil(n, never); o.received != n.limits.Window {
+	if dispatchUntil(n, never); o.received != n.limits.Window {
 		t.Fatalf("%d bytes were read from a client, want %d", o.received, n.limits.Window)
 	}
 	o.onData = func(c *Conn) { c.Resume(20_000) }
-	if o.conn.Resume(20_000); !gatherUntil(n, func() bool { return o.received == 1<<20 }) {
+	if o.conn.Resume(20_000); !dispatchUntil(n, func() bool { return o.received == 1<<20 }) {
 		t.Errorf("%d of %d bytes were read after Resume", o.received, 1<<20)
 	}
 }
@@ -145,7 +145,7 @@
 	o.onData = func(c *Conn) { c.Write(make([]byte, responseSize)); c.Resume(requestSize) }
 	n := startCollector(t, o)
 	client := sendMiB(t, n)
-	gatherUntil(n, func() bool { return false })
+	dispatchUntil(n, func() bool { return false })
 	if unsent := o.conn.writeTotal - o.conn.sentTotal.Load(); unsent > responseSize || o.ended {
 		t.Fatalf("%d bytes wait to be written, want at most one response; connection closed: %v", unsent, o.ended)
 	}
@@ -156,7 +156,7 @@
 			}
 		}
 	}()
-	if !gatherUntil(n, func() bool { return o.received == 1<<20 && o.conn.Written() }) {
+	if !dispatchUntil(n, func() bool { return o.received == 1<<20 && o.conn.AllWritten() }) {
 		t.Errorf("%d of %d bytes were read after the client began to read its responses", o.received, 1<<20)
 	}
 }
@@ -179,8 +179,8 @@
 	o := &collector{onData: func(*Conn) {}}
 	n := startCollector(t, o)
 	n.Dial(listener.Addr().String(), time.Second, size, o)
-	time.Sleep(100 * time.Millisecond) // all bytes and the close arrive before the first Gather
-	if gatherUntil(n, func() bool { return o.ended }); o.received != size {
+	time.Sleep(100 * time.Millisecond) // all bytes and the close arrive before the first Dispatch
+	if dispatchUntil(n, func() bool { return o.ended }); o.received != size {
 		t.Errorf("%d of %d bytes were delivered before the connection ended", o.received, size)
 	}
 }
--- a/internal/trial/double_test.go
+++ b/internal/trial/double_test.go
@@ -59,7 +59,7 @@
 	}
 	sender := &testSender{defect: defect, config: senderConfig, receivers: map[string]directory.Member{},
 		destinations: map[int64]*destinationState{}, lastOfKey: map[string]chan struct{}{}}
-	for _, m := range senderConfig.Known.Members {
+	for _, m := range senderConfig.InitialList.Members {
 		sender.receivers[m.ID] = m
 	}
 	terminate := make(chan os.Signal, 1)
--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -97,7 +97,7 @@
 
 // launch starts the process and waits up to 15 s until it answers GET /up with 200.
 func (s *Sender) launch(knownReceivers directory.List) error {
-	s.config.Known = knownReceivers
+	s.config.InitialList = knownReceivers
 	if err := s.writeConfig(); err != nil {
 		return err
 	}
