--- a/cmd/chutelab/lab.go
+++ b/cmd/chutelab/lab.go
@@ -186,9 +186,9 @@
 					loaded.Senders, len(scenario.NewInstance(loaded).Destinations), float64(loaded.Length)/1000,
 					result.Wall.Seconds(), workers, result.All.Asked, result.Events,
 					float64(result.Events)/result.Wall.Seconds()/1e6, float64(mem.Sys)/1e9,
-					result.All.Credit, result.All.Delivered, result.Calls, result.Further,
+					result.All.Credit, result.All.Delivered, result.Calls, result.FurtherCalls,
 					result.All.Delivery.P50, result.All.Delivery.P99)
-				if result.Broken {
+				if result.Cancelled {
 					return lab.ErrInterrupted
 				}
 				return nil
--- a/cmd/chuteweir/main_test.go
+++ b/cmd/chuteweir/main_test.go
@@ -187,7 +187,7 @@
 	env := startEnvironment(t)
 	env.respondWith(func(call *standin.ReceivedCall) standin.Reply {
 		if call.ID == "o-1" { // rejected, so it has had no effect
-			return standin.Reply{Status: 429, Fields: []string{"Retry-After: 7.5"}}
+			return standin.Reply{Status: 429, HeaderLines: []string{"Retry-After: 7.5"}}
 		}
 		return standin.Reply{NoResponse: true}
 	})
@@ -414,7 +414,7 @@
 	env := startEnvironment(t, `idle_kept = "10s"`, `idle_kept = "400ms"`)
 	var remotes []string
 	env.respondWith(func(call *standin.ReceivedCall) standin.Reply {
-		env.locked(func() { remotes = append(remotes, call.Remote) })
+		env.locked(func() { remotes = append(remotes, call.RemoteAddress) })
 		return standin.Reply{Status: 200}
 	})
 	for i, pause := range []time.Duration{50, 600, 0} {
--- a/cmd/chuteweir/waits_test.go
+++ b/cmd/chuteweir/waits_test.go
@@ -72,7 +72,7 @@
 		}
 		time.Sleep(300 * time.Millisecond)
 		checker.recordWait(2 * time.Second)
-		return standin.Reply{Status: 429, Fields: []string{"Retry-After: 2"}}
+		return standin.Reply{Status: 429, HeaderLines: []string{"Retry-After: 2"}}
 	})
 	checker.submit("note", "warm", 9000, 1) // leaves an idle connection, which the next call uses
 	checker.awaitLines(1, "receiver: POST /events warm")
@@ -132,6 +132,6 @@
 	checkWaitIsFollowed(t, func(checker *waitChecker, call *standin.ReceivedCall) standin.Reply {
 		<-call.PeerClosed
 		checker.recordWait(2 * time.Second)
-		return standin.Reply{Status: 429, Fields: []string{"Retry-After: 2"}}
+		return standin.Reply{Status: 429, HeaderLines: []string{"Retry-After: 2"}}
 	}, `quoted = "3s"`, `quoted = "300ms"`)
 }
--- a/internal/gateway/site.go
+++ b/internal/gateway/site.go
@@ -13,7 +13,7 @@
 // sockets as well as in simulated time. It is not safe for concurrent use.
 type Site struct {
 	*scenario.Destination
-	Core *Gateway // decides the calls that no fault fails
+	Gateway *Gateway // decides the calls that no fault fails
 	// OutageActive reports whether an outage is active. SawOutage holds the senders that may have noticed an outage:
 	// those with a failed or refused call, or all of them if the destination can't see who tries.
 	OutageActive bool
@@ -28,7 +28,7 @@
 	s := instance.Settings
 	site := &Site{Destination: d, SawOutage: map[int]bool{}, instance: instance,
 		rng: scenario.NewRand(instance.Seed, scenario.StreamGateways+uint64(d.Number))}
-	site.Core = New(d.Group.Profile, RecoveryProfile{ColdShare: s.ColdCapacity, WarmUp: s.WarmUpTime,
+	site.Gateway = New(d.Group.Profile, RecoveryProfile{ColdShare: s.ColdCapacity, WarmUp: s.WarmUpTime,
 		OverloadWindow: s.OverloadTime, OverloadMultiple: s.OverloadFactor}, site.rng)
 	return site
 }
@@ -77,7 +77,7 @@
 		}
 	}
 	if s.OutageActive && !active {
-		s.Core.EndOutage(at)
+		s.Gateway.EndOutage(at)
 	}
 	s.OutageActive = active
 }
@@ -160,7 +160,7 @@
 		slowdown = f.Size
 	}
 	_, dribbles := s.DrawFault(scenario.Dribble, grade, now)
-	response := s.Core.Arrive(max(now, 0), sender, limitShare, slowdown)
+	response := s.Gateway.Arrive(max(now, 0), sender, limitShare, slowdown)
 	outcome := CallOutcome{At: response.DueAt, Dribbled: dribbles, CausedOverload: response.CausedOverload}
 	if dribbles {
 		outcome.Fault = scenario.Dribble
@@ -179,7 +179,7 @@
 		outcome.Status, outcome.TookEffect = 200, true
 	}
 	reportFields := s.instance.Names.LoadReportFields
-	if outcome.LimitRemaining, outcome.Limit, outcome.LimitReported = s.Core.Report(max(now, 0),
+	if outcome.LimitRemaining, outcome.Limit, outcome.LimitReported = s.Gateway.Report(max(now, 0),
 		limitShare); outcome.LimitReported &&
 		len(reportFields) == 2 {
 		outcome.HeaderLines = append(outcome.HeaderLines, fmt.Sprintf("Server-Load: %s=%.3f,%s=%.3f",
--- a/internal/lab/rows.go
+++ b/internal/lab/rows.go
@@ -47,8 +47,8 @@
 	{"p50 ms", func(r *model.Result) float64 { return r.All.Delivery.P50 }, true},
 	{"p99 ms", func(r *model.Result) float64 { return r.All.Delivery.P99 }, true},
 	{"calls", func(r *model.Result) float64 { return ratio(r.Calls, r.All.Asked) }, true},
-	{"refused calls", func(r *model.Result) float64 { return ratio(r.CallsFull, r.All.Asked) }, true},
-	{"further", func(r *model.Result) float64 { return ratio(r.Further, r.All.Asked) }, true},
+	{"refused calls", func(r *model.Result) float64 { return ratio(r.RefusedCalls, r.All.Asked) }, true},
+	{"further", func(r *model.Result) float64 { return ratio(r.FurtherCalls, r.All.Asked) }, true},
 	{"refused", func(r *model.Result) float64 { return ratio(r.Refused, r.All.Asked) }, true},
 	{"dismissed", func(r *model.Result) float64 { return ratio(r.Dismissed, r.All.Asked) }, true},
 	{"broken off", func(r *model.Result) float64 { return ratio(r.BrokenOff, r.All.Asked) }, true},
@@ -162,7 +162,7 @@
 		if j.err != nil {
 			return rows, j.err
 		}
-		if j.row.Result.Broken {
+		if j.row.Result.Cancelled {
 			return rows, interrupted(ctx)
 		}
 		rows = append(rows, j.row)
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 	}
-	findings = slices.DeleteFunc(findings, func(f Finding) bool { return f.Ours == nil || f.Ours.Broken })
+	findings = slices.DeleteFunc(findings, func(f Finding) bool { return f.Ours == nil || f.Ours.Cancelled })
 	slices.SortStableFunc(findings, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(b.Badness, a.Badness), cmp.Compare(a.Seed, b.Seed))
 	})
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -88,15 +88,15 @@
 	Dismissed      int             `json:"dismissed"`      // accepted notices that were dismissed
 	BrokenOff      int             `json:"broken_off"`     // accepted notices that were broken off
 	Calls          int             `json:"calls"`          // calls that destinations received
-	CallsFull      int             `json:"calls_full"`     // of these, calls that were refused with 429 or 503
-	Further        int             `json:"further"`        // calls beyond the first for a submission
+	RefusedCalls   int             `json:"calls_full"`     // of these, calls that were refused with 429 or 503
+	FurtherCalls   int             `json:"further"`        // calls beyond the first for a submission
 	SecondEffects  int             `json:"second_effects"` // repeated effects of at-most-once notices
 	LocalShortages int             `json:"short"`          // calls not begun for lack of descriptors
 	Overloads      int             `json:"falls"`          // recovering destinations that were overloaded again
 	Bins           []Bin           `json:"bins,omitempty"`
 	Events         int64           `json:"events"`
 	Wall           time.Duration   `json:"-"`
-	Broken         bool            `json:"broken,omitempty"` // cancelled before its end
+	Cancelled      bool            `json:"broken,omitempty"` // cancelled before its end
 	BreakerChanges []BreakerChange `json:"-"`
 	Breaches       []audit.Breach  `json:"breaches,omitempty"`
 	View           audit.View      `json:"-"`
@@ -183,7 +183,7 @@
 }
 
 // Run runs a scenario. If the context ends first, the run is cancelled: the result covers the time until then and
-// is marked Broken.
+// is marked Cancelled.
 func Run(ctx context.Context, definition *scenario.Scenario, options Options) *Result {
 	startedAt := time.Now()
 	if options.Network.Delay <= 0 {
@@ -253,14 +253,14 @@
 		Well: clients.healthy.Share(), Sick: clients.failing.Share(), Submitted: clients.counts.submitted,
 		Accepted: clients.counts.accepted, Refused: clients.counts.refused, Unanswered: clients.counts.unanswered,
 		Dismissed: clients.counts.dismissed,
-		BrokenOff: clients.counts.brokenOff, Bins: clients.bins, Events: eng.events(), Broken: !completed}
+		BrokenOff: clients.counts.brokenOff, Bins: clients.bins, Events: eng.events(), Cancelled: !completed}
 	for _, g := range clients.grades {
 		result.Grades = append(result.Grades, g.Share())
 	}
 	for _, s := range sites {
 		result.Calls += s.counts.calls
-		result.CallsFull += s.counts.fullResponses
-		result.Further += s.counts.furtherCalls
+		result.RefusedCalls += s.counts.refusedCalls
+		result.FurtherCalls += s.counts.furtherCalls
 		result.SecondEffects += s.counts.secondEffects
 		result.Overloads += len(s.overloads)
 	}
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -153,7 +153,7 @@
 			}
 			r := Run(context.Background(), s, Options{Workers: 1, Policy: policy})
 			credit[name] += r.All.Credit / 3
-			further[name] += r.Further
+			further[name] += r.FurtherCalls
 		}
 	}
 	for _, name := range Policies() {
@@ -174,11 +174,11 @@
 	}
 }
 
-// A run whose context is cancelled returns a result that is marked Broken.
-func TestCancelledRunIsMarkedBroken(t *testing.T) {
+// A run whose context is cancelled returns a result that is marked Cancelled.
+func TestCancelledRunIsMarkedCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if r := Run(ctx, load(t, "calm", 1, false), Options{Workers: 1}); !r.Broken {
-		t.Error("result of a cancelled run is not marked Broken")
+	if r := Run(ctx, load(t, "calm", 1, false), Options{Workers: 1}); !r.Cancelled {
+		t.Error("result of a cancelled run is not marked Cancelled")
 	}
 }
--- a/internal/model/outside.go
+++ b/internal/model/outside.go
@@ -221,7 +221,7 @@
 func (c *client) handleOutcome(e *event) {
 	confirmation := event{kind: evOutcomeAccepted, value: e.value}
 	sender := int(e.from) - firstSenderNode
-	if _, active := c.activeFault(scenario.EndsRefused); active {
+	if _, active := c.activeFault(scenario.OutcomesRefused); active {
 		c.refusals = append(c.refusals, audit.RefusedReport{Sender: sender, At: c.now()})
 		confirmation.kind = evOutcomeRefused
 	} else {
--- a/internal/model/site.go
+++ b/internal/model/site.go
@@ -65,7 +65,7 @@
 	recordedCalls []*call // kept only if the run is recorded
 	overloads     []audit.Overload
 
-	counts struct{ calls, fullResponses, furtherCalls, secondEffects int }
+	counts struct{ calls, refusedCalls, furtherCalls, secondEffects int }
 }
 
 // receiver is one receiver of a site.
@@ -248,7 +248,7 @@
 	c.outcome = s.gateway.Decide(now, int(c.conn.sender)-firstSenderNode, sub.effect.Grade)
 	if c.outcome.CausedOverload {
 		s.overloads = append(s.overloads, audit.Overload{Dest: s.gateway.Number, At: now,
-			By: s.gateway.Core.CallsBySender(), SawOutage: s.gateway.SendersThatSawOutage()})
+			By: s.gateway.Gateway.CallsBySender(), SawOutage: s.gateway.SendersThatSawOutage()})
 	}
 	c.record.Ran, c.record.Fault, c.record.Unread = c.outcome.TookEffect, c.outcome.Fault, c.outcome.LostUnread
 	c.conn.serving = c
@@ -324,7 +324,7 @@
 	f := c.outcome
 	c.record.Replied, c.record.Status, c.record.RequestedWait, c.record.Malformed = now, f.Status, f.Wait, f.Malformed
 	if !f.Malformed && (f.Status == 429 || f.Status == 503) {
-		s.counts.fullResponses++
+		s.counts.refusedCalls++
 	}
 	if f.Status == 200 {
 		c.record.Delivered = true
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -21,32 +21,32 @@
 
 // The kinds of fault. A fault acts from its start to its end; its share says how many of the calls it affects.
 const (
-	Refuse      = "refuse"       // new connections are refused and open ones are reset
-	Shut        = "shut"         // all calls are refused with status 503
-	Hang        = "hang"         // calls are read and never answered
-	Silent      = "silent"       // no data is sent on any connection, and new connections are never established
-	NeverUp     = "never-up"     // new connections are never established
-	ResetBefore = "reset-before" // the connection is reset before the call is read
-	ResetAfter  = "reset-after"  // the connection is reset after the call is read
-	Errors      = "errors"       // calls fail immediately with status 500
-	Malformed   = "spoilt"       // responses are malformed
-	Slow        = "slow"         // calls take longer
-	Dribble     = "dribble"      // responses are sent at one byte a second
-	Pauses      = "pauses"       // periodically, nothing is read or sent for half of each period
-	LowLimit    = "low-limit"    // the call limit is lowered
-	Flap        = "flap"         // periodically, connections are refused for half of each period
-	Drain       = "drain"        // receivers drain and others replace them; at the end the drained ones are removed
-	Vanish      = "vanish"       // receivers are missing from the receiver list and unreachable until the end
-	ListSilent  = "list-silent"  // the platform does not respond
-	ListGarbage = "list-garbage" // the platform serves malformed receiver lists
-	EndsRefused = "ends-refused" // the platform refuses outcome reports
-	Kill        = "kill"         // senders are killed and restart at the end
-	Stop        = "stop"         // senders are asked to shut down; each restarts after its exit, at the end or later
-	Freeze      = "freeze"       // senders are paused
-	FewFiles    = "few-files"    // senders may open only a few more file descriptors
-	Reload      = "reload"       // senders reload a malformed configuration, and at the end a valid one
-	Hostile     = "hostile"      // misbehaving clients connect in addition to the normal ones
-	Burst       = "burst"        // the notice rate is multiplied
+	Refuse          = "refuse"       // new connections are refused and open ones are reset
+	Shut            = "shut"         // all calls are refused with status 503
+	Hang            = "hang"         // calls are read and never answered
+	Silent          = "silent"       // no data is sent on any connection, and new connections are never established
+	NeverUp         = "never-up"     // new connections are never established
+	ResetBefore     = "reset-before" // the connection is reset before the call is read
+	ResetAfter      = "reset-after"  // the connection is reset after the call is read
+	Errors          = "errors"       // calls fail immediately with status 500
+	Malformed       = "spoilt"       // responses are malformed
+	Slow            = "slow"         // calls take longer
+	Dribble         = "dribble"      // responses are sent at one byte a second
+	Pauses          = "pauses"       // periodically, nothing is read or sent for half of each period
+	LowLimit        = "low-limit"    // the call limit is lowered
+	Flap            = "flap"         // periodically, connections are refused for half of each period
+	Drain           = "drain"        // receivers drain and others replace them; at the end the drained ones are removed
+	Vanish          = "vanish"       // receivers are missing from the receiver list and unreachable until the end
+	ListSilent      = "list-silent"  // the platform does not respond
+	ListGarbage     = "list-garbage" // the platform serves malformed receiver lists
+	OutcomesRefused = "ends-refused" // the platform refuses outcome reports
+	Kill            = "kill"         // senders are killed and restart at the end
+	Stop            = "stop"         // senders are asked to shut down; each restarts after its exit, at the end or later
+	Freeze          = "freeze"       // senders are paused
+	FewFiles        = "few-files"    // senders may open only a few more file descriptors
+	Reload          = "reload"       // senders reload a malformed configuration, and at the end a valid one
+	Hostile         = "hostile"      // misbehaving clients connect in addition to the normal ones
+	Burst           = "burst"        // the notice rate is multiplied
 )
 
 // FaultTarget is the part of the environment that a kind of fault affects.
--- a/internal/scenario/table.go
+++ b/internal/scenario/table.go
@@ -12,7 +12,7 @@
 	Slow:    Destinations,
 	Dribble: Destinations, Pauses: Destinations, LowLimit: Destinations, Flap: Destinations,
 	Drain: Destinations, Vanish: Destinations,
-	ListSilent: Platforms, ListGarbage: Platforms, EndsRefused: Platforms,
+	ListSilent: Platforms, ListGarbage: Platforms, OutcomesRefused: Platforms,
 	Kill: Senders, Stop: Senders, Freeze: Senders, Reload: Senders, FewFiles: Senders,
 	Hostile: Clients, Burst: Clients,
 }
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -21,23 +21,23 @@
 
 // ReceivedCall is a call that a receiver has read, as passed to a test's script.
 type ReceivedCall struct {
-	ID, Mark, Receiver, Remote string
-	Path                       string
-	Body                       []byte
-	PeerClosed                 <-chan struct{} // closed when the sender ends the connection
+	ID, Mark, Receiver, RemoteAddress string
+	Path                              string
+	Body                              []byte
+	PeerClosed                        <-chan struct{} // closed when the sender ends the connection
 }
 
 // Reply is the response to a call, as a test's script decides it.
 type Reply struct {
-	Status     int
-	Fields     []string // header lines
-	Body       string
-	Raw        string        // bytes to write in place of a response made of the fields above
-	Delay      time.Duration // delay before the response
-	Close      bool          // close the connection after the response
-	Reset      bool          // reset the connection, after writing Raw
-	NoResponse bool          // send no response
-	Ran        bool          // the call took effect
+	Status      int
+	HeaderLines []string // without their line ends
+	Body        string
+	Raw         string        // bytes to write in place of a response made of the fields above
+	Delay       time.Duration // delay before the response
+	Close       bool          // close the connection after the response
+	Reset       bool          // reset the connection, after writing Raw
+	NoResponse  bool          // send no response
+	Ran         bool          // the call took effect
 }
 
 // Gateways serves all destinations of a run.
@@ -545,11 +545,11 @@
 	defer d.mu.Unlock()
 	verdict := d.Decide(now, sender, grade)
 	if verdict.CausedOverload {
-		r.gateways.env.Record.Overloaded(audit.Overload{Dest: d.Number, At: now, By: d.Core.CallsBySender(),
+		r.gateways.env.Record.Overloaded(audit.Overload{Dest: d.Number, At: now, By: d.Gateway.CallsBySender(),
 			SawOutage: d.SendersThatSawOutage()})
 	}
 	return plannedResponse{
-		Reply: Reply{Status: verdict.Status, Fields: verdict.HeaderLines, Raw: verdict.Raw, Reset: verdict.Reset,
+		Reply: Reply{Status: verdict.Status, HeaderLines: verdict.HeaderLines, Raw: verdict.Raw, Reset: verdict.Reset,
 			NoResponse: verdict.NoResponse, Ran: verdict.TookEffect},
 		due: verdict.At, requestedWait: verdict.Wait, slow: verdict.Dribbled, malformed: verdict.Malformed,
 		fault: verdict.Fault, lostUnread: verdict.LostUnread}
@@ -566,8 +566,8 @@
 	switch {
 	case r.gateways.Script != nil:
 		planned.Reply = r.gateways.Script(&ReceivedCall{ID: id, Mark: mark, Receiver: r.id,
-			Remote: conn.RemoteAddr().String(),
-			Path:   received.path, Body: received.body, PeerClosed: conn.watchPeer()})
+			RemoteAddress: conn.RemoteAddr().String(),
+			Path:          received.path, Body: received.body, PeerClosed: conn.watchPeer()})
 		planned.due = env.Clock.Now() + rules.Millis(planned.Delay)/1e6
 	case !known && !env.ServeUnknown:
 		planned = plannedResponse{Reply: Reply{Status: 400}, due: received.last}
@@ -649,8 +649,8 @@
 // formatResponse returns the bytes of a response.
 func formatResponse(reply Reply) string {
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n", reply.Status, http.StatusText(reply.Status))
-	for _, field := range reply.Fields {
-		text += field + "\r\n"
+	for _, headerLine := range reply.HeaderLines {
+		text += headerLine + "\r\n"
 	}
 	if reply.Close {
 		text += "Connection: close\r\n"
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -172,7 +172,7 @@
 
 // acceptOutcomes handles a report of final outcomes, one JSON object a line. It accepts all of them or none.
 func (p *Platform) acceptOutcomes(sender int, w http.ResponseWriter, body []byte) {
-	if _, on := p.activeFault(scenario.EndsRefused); on {
+	if _, on := p.activeFault(scenario.OutcomesRefused); on {
 		p.env.Record.ReportRefused(audit.RefusedReport{Sender: sender, At: p.env.Clock.Now()})
 		w.WriteHeader(500)
 		return
--- a/internal/trial/result.go
+++ b/internal/trial/result.go
@@ -38,8 +38,8 @@
 	Dismissed       int                     `json:"dismissed"`  // notices whose final outcome is handed_back
 	BrokenOff       int                     `json:"broken_off"` // notices with another final outcome
 	Calls           int                     `json:"calls"`
-	CallsFull       int                     `json:"calls_full"`     // calls that a gateway rejected with 429 or 503
-	Further         int                     `json:"further"`        // calls at gateways beyond each notice's first
+	RefusedCalls    int                     `json:"calls_full"`     // calls that a gateway rejected with 429 or 503
+	FurtherCalls    int                     `json:"further"`        // calls at gateways beyond each notice's first
 	Overloads       int                     `json:"falls"`          // destinations overloaded during recovery
 	SecondEffects   int                     `json:"second_effects"` // effects of at-most-once notices beyond the first
 	Answers         Times                   `json:"answers_ms"`     // time until the senders' final answers to clients
@@ -77,14 +77,14 @@
 		call := &result.View.Calls[i]
 		result.Calls++
 		if !call.Malformed && (call.Status == 429 || call.Status == 503) {
-			result.CallsFull++
+			result.RefusedCalls++
 		}
 		submission := submissions[call.ID]
 		if submission == nil {
 			continue
 		}
 		if called[call.ID] {
-			result.Further++
+			result.FurtherCalls++
 		}
 		called[call.ID] = true
 		if call.Ran && instance.Settings.Grades[submission.Grade].Repeat == rules.AtMostOnce {
@@ -195,7 +195,7 @@
 		r.Submitted, r.Accepted, r.Refused, r.Unanswered, r.Dismissed, r.BrokenOff)
 	fmt.Fprintf(out,
 		"calls %d, rejected with 429 or 503 %d, beyond the first of a notice %d; second effects of at-most-once notices %d\n",
-		r.Calls, r.CallsFull, r.Further, r.SecondEffects)
+		r.Calls, r.RefusedCalls, r.FurtherCalls, r.SecondEffects)
 	fmt.Fprintf(out,
 		"answers to clients p50 %.1f ms, p99 %.1f ms; CPU %.0f us a notice, at most %.1f MB and %d descriptors a sender\n",
 		r.Answers.P50, r.Answers.P99, r.CPU, float64(r.PeakRSS)/1e6, r.PeakFDs)
--- a/internal/trial/sick.go
+++ b/internal/trial/sick.go
@@ -74,6 +74,6 @@
 			append(impact.Load, load)
 		impact.MostSlots, impact.MostLoad = max(impact.MostSlots, share), max(impact.MostLoad, load)
 	}
-	impact.Further = float64(r.Further) / float64(max(r.All.Asked, 1))
+	impact.Further = float64(r.FurtherCalls) / float64(max(r.All.Asked, 1))
 	return impact
 }
