--- a/cmd/chutelab/lab.go
+++ b/cmd/chutelab/lab.go
@@ -186,9 +186,9 @@
 					loaded.Senders, len(scenario.NewInstance(loaded).Destinations), float64(loaded.Length)/1000,
 					result.Wall.Seconds(), workers, result.All.Asked, result.Events,
 					float64(result.Events)/result.Wall.Seconds()/1e6, float64(mem.Sys)/1e9,
-					result.All.Credit, result.All.Delivered, result.Calls, result.Further,
+					result.All.Credit, result.All.Delivered, result.Calls, result.FurtherCalls,
 					result.All.Delivery.P50, result.All.Delivery.P99)
-				if result.Broken {
+				if result.Cancelled {
 					return lab.ErrInterrupted
 				}
 				return nil
@@ -261,7 +261,8 @@
 	var width float64
 	var most int
 	command := &cobra.Command{
-		Use: "compare", Short: "Compare two settings, policies or builds over the same seeds", Args: cli.Args(cobra.NoArgs),
+		Use: "compare", Short: "Compare two settings, policies or builds over the same seeds",
+		Args: cli.Args(cobra.NoArgs),
 		Long: `compare runs both variants with the same seeds and estimates the mean difference of each figure over the pairs, with 95%
 intervals. With --width it adds seeds until half the interval's width of the chosen figure is at most that, or --most
 seeds have run. To compare two builds, write the rows of each with lab run --rows, and pass them as --rows-a and --rows-b.`,
