--- a/cmd/chutelab/sick.go
+++ b/cmd/chutelab/sick.go
@@ -216,11 +216,11 @@
 		fmt.Fprintf(writer, "%s\t%d\t%.3f\t%s\t%.1f\t%s\t%.2f\t%.3f\t%.2f\t%.2f\t%s",
 			strings.TrimPrefix(tested.name, "sick-"), withFaults.Asked, withFaults.Credit,
 			ratio(withFaults.Credit, calm.Credit), withFaults.Delivery.P99,
-			ratio(withFaults.Delivery.P99, calm.Delivery.P99), tested.impact.MostSlots, tested.impact.Further,
+			ratio(withFaults.Delivery.P99, calm.Delivery.P99), tested.impact.MostSlots, tested.impact.FurtherCalls,
 			tested.impact.MostLoad, tested.withFaults.CPU/tested.calm.CPU, verdict)
 		if s.relay {
 			fmt.Fprintf(writer, "\t%s\t%.1f\t%.3f\t%.2f", ratio(tested.relay.Well.Credit, calm.Credit),
-				tested.relay.Well.Delivery.P99, tested.relayImpact.Further, tested.relayImpact.MostLoad)
+				tested.relay.Well.Delivery.P99, tested.relayImpact.FurtherCalls, tested.relayImpact.MostLoad)
 		}
 		fmt.Fprintln(writer)
 	}
--- a/internal/trial/impact.go
+++ b/internal/trial/impact.go
@@ -9,10 +9,10 @@
 
 // FailureImpact measures what the failing destinations of a run cost the senders and the healthy destinations.
 type FailureImpact struct {
-	At         []rules.Millis `json:"at"`          // times of the samples
-	SlotsShare []float64      `json:"slots_share"` // share of all slots that calls to failing destinations hold, by At
-	MostSlots  float64        `json:"most_slots"`  // highest of SlotsShare
-	Further    float64        `json:"further"`     // calls beyond each notice's first, for each wanted notice
+	At           []rules.Millis `json:"at"`          // times of the samples
+	SlotsShare   []float64      `json:"slots_share"` // share of all slots that calls to failing destinations hold, by At
+	MostSlots    float64        `json:"most_slots"`  // highest of SlotsShare
+	FurtherCalls float64        `json:"further"`     // calls beyond each notice's first, for each wanted notice
 	// Load is the number of calls that reached failing destinations within loadWindow, relative to the mean number of
 	// their wanted notices in that time, by At.
 	Load     []float64 `json:"load"`
@@ -74,6 +74,6 @@
 			append(impact.Load, load)
 		impact.MostSlots, impact.MostLoad = max(impact.MostSlots, share), max(impact.MostLoad, load)
 	}
-	impact.Further = float64(r.FurtherCalls) / float64(max(r.All.Asked, 1))
+	impact.FurtherCalls = float64(r.FurtherCalls) / float64(max(r.All.Asked, 1))
 	return impact
 }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -366,10 +366,10 @@
 			}
 			// Two more routes may each hold a call that is not overdue yet, and a gateway sees a call later than its
 			// sender starts it.
-			if impact.MostSlots > 0.75+3.0/12 || impact.Further > 0.1 {
+			if impact.MostSlots > 0.75+3.0/12 || impact.FurtherCalls > 0.1 {
 				t.Errorf(
 					"failing destinations held %.2f of the slots, expected at most 1; %.3f further calls a notice, 0.1",
-					impact.MostSlots, impact.Further)
+					impact.MostSlots, impact.FurtherCalls)
 			}
 		})
 	}
--- a/rules/breaker.go
+++ b/rules/breaker.go
@@ -107,7 +107,7 @@
 		}
 		if r.overdueTotal >= silentOverdueTotal && len(r.outstanding) > 1 &&
 			longestWait >= s.settings.OverloadTime/2 {
-			s.openBreaker(r, fmt.Sprintf("%d calls without a response for %.0f ms", len(r.outstanding),
+			s.openBreaker(r, fmt.Sprintf("%d calls owed for %.0f ms", len(r.outstanding),
 				longestWait))
 		}
 	}
