--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -74,7 +74,7 @@
 }
 
 // Result is the result of a run. An effect is what a client wants to happen; it may submit one several times, and each
-// submission that is accepted is a notice.
+// submission that is accepted is a notice. All figures are those of the model.
 type Result struct {
 	Scenario       string          `json:"scenario"`
 	Seed           uint64          `json:"seed"`
--- a/internal/model/sender.go
+++ b/internal/model/sender.go
@@ -82,7 +82,7 @@
 	inFlight                             callsByTimeout
 	timeoutCheckAt                       rules.Millis // time of the next scheduled timeout check
 	connLimit                            int          // maximum number of connections that the descriptors allow
-	usedCapacity                         float64      // sum of capacityOf over notices without a final outcome
+	usedCapacity                         float64      // sum of capacityOf over unfinished notices; at most 1
 
 	listRecords    []audit.Listing
 	senderEvents   []audit.SenderEvent
